--- a/Bench/Decisions/FakeEngine.cpp
+++ b/Bench/Decisions/FakeEngine.cpp
@@ -52,7 +52,7 @@
 {
   mIsUp = false;
   mIsInStep = false;
-  mLife = mLife.Next();
+  mIncarnation = mIncarnation.Next();
   std::vector<engine_job> lost(mWaiting.begin(), mWaiting.end());
   lost.insert(lost.end(), mRunning.begin(), mRunning.end());
   mWaiting.clear();
@@ -102,13 +102,14 @@
     std::chrono::duration<double>{ prefilled / kPrefillRate });
   duration const step = std::max<duration>(
     kStepBase + kStepPerRunning * static_cast<int>(mRunning.size()), compute);
-  mScheduler.After(step, [this, life = mLife]() { EndStep(life); });
+  mScheduler.After(step,
+                   [this, current = mIncarnation]() { EndStep(current); });
 }
 
 void
-fake_engine::EndStep(incarnation aLife)
+fake_engine::EndStep(incarnation aIncarnation)
 {
-  if (!mIsUp || aLife != mLife)
+  if (!mIsUp || aIncarnation != mIncarnation)
     return;
   mIsInStep = false;
   Decode();
--- a/Bench/Decisions/FakeEngine.h
+++ b/Bench/Decisions/FakeEngine.h
@@ -33,7 +33,7 @@
   void Restart();
 
   [[nodiscard]] server_load Load() const;
-  [[nodiscard]] incarnation Life() const { return mLife; }
+  [[nodiscard]] incarnation Incarnation() const { return mIncarnation; }
   [[nodiscard]] bool IsUp() const { return mIsUp; }
   [[nodiscard]] lru_cache const& Cache() const { return mCache; }
 
@@ -42,7 +42,7 @@
 
 private:
   void StartStep();
-  void EndStep(incarnation aLife);
+  void EndStep(incarnation aIncarnation);
   double Prefill();
   void Begin(engine_job& aJob);
   void EndPrefill();
@@ -51,7 +51,7 @@
   scheduler& mScheduler;
   engine_listener mListener;
   lru_cache mCache;
-  incarnation mLife{ 1 };
+  incarnation mIncarnation{ 1 };
   bool mIsUp = true;
   bool mIsInStep = false;
   std::deque<engine_job> mWaiting;
--- a/Bench/Decisions/RouterInstance.cpp
+++ b/Bench/Decisions/RouterInstance.cpp
@@ -31,7 +31,7 @@
   for (std::size_t index = 0; index < mServers.size(); ++index) {
     server_view const& view = mServers[index];
     placement_candidate& candidate = mCandidates[index];
-    candidate.mIncarnation = view.mLife;
+    candidate.mIncarnation = view.mIncarnation;
     candidate.mLoad = view.mLoad.Load();
     candidate.mSentTokens = view.mLoad.SentTokens();
     candidate.mOutstanding = view.mWindow.Outstanding();
@@ -61,20 +61,20 @@
 
 void
 router_instance::OnReport(std::size_t aServer,
-                          incarnation aLife,
+                          incarnation aIncarnation,
                           server_load const& aLoad,
                           instant aNow)
 {
   server_view& view = mServers[aServer];
-  if (aLife < view.mLife)
+  if (aIncarnation < view.mIncarnation)
     return;
-  if (aLife > view.mLife) {
-    view.mLife = aLife;
+  if (aIncarnation > view.mIncarnation) {
+    view.mIncarnation = aIncarnation;
     view.mLoad.OnRestart(aNow);
     view.mSlowStart.OnColdStart(aNow);
     view.mBreaker.OnRestart();
-    mShard.OnIncarnation(ServerName(aServer), aLife);
-    mRecent.OnIncarnation(ServerName(aServer), aLife);
+    mShard.OnIncarnation(ServerName(aServer), aIncarnation);
+    mRecent.OnIncarnation(ServerName(aServer), aIncarnation);
   }
   view.mLoad.OnReport(aLoad);
 }
--- a/Bench/Decisions/RouterInstance.h
+++ b/Bench/Decisions/RouterInstance.h
@@ -32,9 +32,9 @@
   std::optional<placement_choice> Choose(placement_request aRequest,
                                          instant aNow);
 
-  /// A load report came, with the life that sent it.
+  /// A load report came, with the incarnation that sent it.
   void OnReport(std::size_t aServer,
-                incarnation aLife,
+                incarnation aIncarnation,
                 server_load const& aLoad,
                 instant aNow);
 
@@ -45,9 +45,9 @@
 
   static constexpr std::size_t kRecentEntries = 16'000;
 
-  [[nodiscard]] incarnation LifeOf(std::size_t aServer) const
+  [[nodiscard]] incarnation IncarnationOf(std::size_t aServer) const
   {
-    return mServers[aServer].mLife;
+    return mServers[aServer].mIncarnation;
   }
 
   fair_queue mQueue;
--- a/Bench/Decisions/ServerView.h
+++ b/Bench/Decisions/ServerView.h
@@ -10,7 +10,7 @@
 /// What one instance knows of one backend server.
 struct server_view
 {
-  incarnation mLife{ 1 };
+  incarnation mIncarnation{ 1 };
   load_tracker mLoad;
   server_window mWindow{ 0 };
   circuit_breaker mBreaker;
--- a/Bench/Decisions/SimulatedRequests.cpp
+++ b/Bench/Decisions/SimulatedRequests.cpp
@@ -230,7 +230,7 @@
     std::size_t const held = mEngines[index]->Cache().CountHeld(blocks);
     answer.mKnown.push_back(
       { .mServer = ServerName(index),
-        .mIncarnation = mInstances[0].LifeOf(index),
+        .mIncarnation = mInstances[0].IncarnationOf(index),
         .mTokens = static_cast<token_count>(held) * kBlockTokens });
   }
   token_count const stored =
@@ -257,11 +257,12 @@
   if (owner != request.mInstance)
     mLookupBytes +=
       2 * (kFrameBytes + kBlockHashBytes * request.mBlocks.size());
-  block_update update{ .mServer = choice.mServer,
-                       .mIncarnation =
-                         mInstances[request.mInstance].LifeOf(choice.mIndex),
-                       .mBlocks = request.mBlocks,
-                       .mCachedTokens = aCachedTokens };
+  block_update update{
+    .mServer = choice.mServer,
+    .mIncarnation = mInstances[request.mInstance].IncarnationOf(choice.mIndex),
+    .mBlocks = request.mBlocks,
+    .mCachedTokens = aCachedTokens
+  };
   mInstances[request.mInstance].mRecent.OnUpdate(update, mScheduler.Now());
   duration const hop = Hop(owner, request.mInstance);
   mScheduler.After(hop, [this, owner, update = std::move(update)]() {
--- a/Bench/Decisions/Simulation.cpp
+++ b/Bench/Decisions/Simulation.cpp
@@ -125,10 +125,10 @@
   if (!engine.IsUp())
     return;
   server_load const load = engine.Load();
-  incarnation const life = engine.Life();
-  mScheduler.After(kLoadLag, [this, aServer, load, life]() {
+  incarnation const current = engine.Incarnation();
+  mScheduler.After(kLoadLag, [this, aServer, load, current]() {
     for (std::size_t index = 0; index < mInstances.size(); ++index) {
-      mInstances[index].OnReport(aServer, life, load, mScheduler.Now());
+      mInstances[index].OnReport(aServer, current, load, mScheduler.Now());
       Pump(index);
     }
   });
@@ -145,9 +145,9 @@
   std::uniform_real_distribution<double> chance;
   if (chance(mRandom) < mOptions.mCase.mEventLoss)
     return;
-  incarnation const life = mEngines[aServer]->Life();
-  mScheduler.After(kEventLag, [this, aServer, events, sequence, life]() {
-    if (life == mEngines[aServer]->Life())
+  incarnation const current = mEngines[aServer]->Incarnation();
+  mScheduler.After(kEventLag, [this, aServer, events, sequence, current]() {
+    if (current == mEngines[aServer]->Incarnation())
       DeliverEvents(aServer, events, sequence);
   });
 }
@@ -164,7 +164,7 @@
     mEventBytes += 2 * (kBatchBytes + kEventBytes * parts[index].size());
     mInstances[index].mShard.OnEvents(
       { .mServer = ServerName(aServer),
-        .mIncarnation = mEngines[aServer]->Life(),
+        .mIncarnation = mEngines[aServer]->Incarnation(),
         .mFirst = aSequence,
         .mLast = aSequence,
         .mEvents = parts[index] },
--- a/Bench/Peers/MeasureLinks.cpp
+++ b/Bench/Peers/MeasureLinks.cpp
@@ -22,7 +22,8 @@
   peer_heartbeat beat{ .mSentAt = instant{} + std::chrono::hours{ 5 },
                        .mEcho = instant{} + std::chrono::hours{ 4 },
                        .mApplied = log_offset{ 100000 },
-                       .mTail = tail_sign{ .mTail = log_offset{ 100000 } } };
+                       .mTail =
+                         tail_observation{ .mTail = log_offset{ 100000 } } };
   for (std::size_t i = 0; i < aDomains; ++i)
     beat.mDomains.push_back(
       { .mDomain = DomainCode(failure_domain{ "d" + std::to_string(i) }),
@@ -55,15 +56,15 @@
   static peer_hello Hello(std::string const& aName)
   {
     endpoint const none = endpoint::Parse("127.0.0.1:1");
-    return { .mLife = { .mInstance = instance_id{ aName } },
+    return { .mIdentity = { .mInstance = instance_id{ aName } },
              .mFailureDomain = failure_domain{ "here" },
              .mCallers = none,
              .mPeers = none };
   }
 
   void OnPeerUp(peer_hello const&) {}
-  void OnPeerMessage(instance_life const&, peer_message&) {}
-  void OnPeerDown(instance_life const&, link_close_reason) {}
+  void OnPeerMessage(instance_identity const&, peer_message&) {}
+  void OnPeerDown(instance_identity const&, link_close_reason) {}
 
   hub mHub;
 };
--- a/Bench/Peers/MeasurePropagation.cpp
+++ b/Bench/Peers/MeasurePropagation.cpp
@@ -26,7 +26,7 @@
   std::size_t const domains = std::min(kDomains, aInstances / 2);
   for (std::size_t i = 0; i < aInstances; ++i)
     members.push_back(
-      { .mLife = { .mInstance = instance_id{ "i" + std::to_string(i) } },
+      { .mIdentity = { .mInstance = instance_id{ "i" + std::to_string(i) } },
         .mFailureDomain =
           failure_domain{ "d" + std::to_string(i % domains) } });
   return members;
@@ -55,11 +55,11 @@
   {
     std::map<instance_id, std::size_t> index;
     for (std::size_t i = 0; i < mMembers.size(); ++i)
-      index[mMembers[i].mLife.mInstance] = i;
+      index[mMembers[i].mIdentity.mInstance] = i;
     for (member const& self : mMembers) {
       mLinks.emplace_back();
       for (instance_id const& peer :
-           SelectPeers(self.mLife.mInstance, mMembers, {}))
+           SelectPeers(self.mIdentity.mInstance, mMembers, {}))
         mLinks.back().push_back(index.at(peer));
     }
   }
--- a/Bench/Peers/MeasureSupervision.cpp
+++ b/Bench/Peers/MeasureSupervision.cpp
@@ -16,7 +16,7 @@
 using std::chrono::seconds;
 
 constexpr milliseconds kTick{ 100 };
-constexpr seconds kLife{ 120 };
+constexpr seconds kProcessLifetime{ 120 };
 constexpr int kRounds = 200;
 
 struct link_result
@@ -34,7 +34,8 @@
 {
   link_result result;
   std::uniform_int_distribution<int> phase{ 0, 9999 };
-  instant const dies = instant{} + kLife + milliseconds{ phase(aRandom) };
+  instant const dies =
+    instant{} + kProcessLifetime + milliseconds{ phase(aRandom) };
   std::exponential_distribution<double> gap{ 1.0 / static_cast<double>(
                                                      aTraffic.count()) };
   instant nextTraffic{};
--- a/Bench/Slopes/BlockMapSlope.cpp
+++ b/Bench/Slopes/BlockMapSlope.cpp
@@ -21,7 +21,7 @@
 constexpr std::size_t kPromptBlocks = 32;
 constexpr std::size_t kOperations = 20'000;
 constexpr instant kNow = instant{} + 1000s;
-constexpr incarnation kLife{ 1 };
+constexpr incarnation kIncarnation{ 1 };
 
 std::vector<placement_candidate>
 MakeServers()
@@ -30,7 +30,7 @@
   for (std::size_t index = 0; index < kServers; ++index) {
     servers[index].mServer =
       backend_server_id{ "worker-" + std::to_string(index) };
-    servers[index].mIncarnation = kLife;
+    servers[index].mIncarnation = kIncarnation;
   }
   return servers;
 }
@@ -55,7 +55,7 @@
 {
   for (std::size_t prompt = 0; prompt < aEntries / kPromptBlocks; ++prompt)
     aShard.OnUpdate({ .mServer = aServers[prompt % kServers].mServer,
-                      .mIncarnation = kLife,
+                      .mIncarnation = kIncarnation,
                       .mBlocks = PromptBlocks(prompt / 4),
                       .mCachedTokens = 0 },
                     kNow);
@@ -78,7 +78,7 @@
   for (std::vector<cache_event> const& batch : batches) {
     sequence = sequence.Next();
     aShard.OnEvents({ .mServer = aServer.mServer,
-                      .mIncarnation = kLife,
+                      .mIncarnation = kIncarnation,
                       .mFirst = sequence,
                       .mLast = sequence,
                       .mEvents = batch },
@@ -117,7 +117,7 @@
   updates.reserve(kOperations / 10);
   for (std::size_t index = 0; index < kOperations / 10; ++index)
     updates.push_back({ .mServer = aServers[index % kServers].mServer,
-                        .mIncarnation = kLife,
+                        .mIncarnation = kIncarnation,
                         .mBlocks = PromptBlocks(index * 31 % aPrompts) });
   processor_timer const timer;
   for (block_update const& update : updates)
--- a/Libraries/LibAdmin/AdminDesk.h
+++ b/Libraries/LibAdmin/AdminCallHandler.h
@@ -19,10 +19,10 @@
 
 /// Carries out operators' calls on the control thread.
 template<typename Control>
-class admin_desk
+class admin_call_handler
 {
 public:
-  explicit admin_desk(Control& aControl)
+  explicit admin_call_handler(Control& aControl)
     : mControl(aControl)
   {
   }
--- a/Libraries/LibCodec/ClaimCheckpoint.cpp
+++ b/Libraries/LibCodec/ClaimCheckpoint.cpp
@@ -5,11 +5,11 @@
 namespace lycheeseam {
 
 template<>
-struct json_fields<instance_life>
+struct json_fields<instance_identity>
 {
   static constexpr std::tuple kFields{
-    RequiredField("instance", &instance_life::mInstance),
-    RequiredField("incarnation", &instance_life::mIncarnation),
+    RequiredField("instance", &instance_identity::mInstance),
+    RequiredField("incarnation", &instance_identity::mIncarnation),
   };
 };
 
--- a/Libraries/LibControl/ControlMessage.h
+++ b/Libraries/LibControl/ControlMessage.h
@@ -15,12 +15,13 @@
 };
 
 /// A caller has closed its connection before its answer was complete.
-struct caller_gone
+struct caller_disconnected
 {
   call_number mCall;
 };
 
 /// Anything that traffic threads tell control.
-using control_message = std::variant<call_opened, caller_gone, upstream_end>;
+using control_message =
+  std::variant<call_opened, caller_disconnected, upstream_end>;
 
 }
--- a/Libraries/LibControl/InstanceView.h
+++ b/Libraries/LibControl/InstanceView.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include <LibCore/InstanceLife.h>
+#include <LibCore/InstanceIdentity.h>
 #include <LibCore/Instant.h>
 #include <LibMembership/FreshnessVerdict.h>
 #include <LibOnce/LogState.h>
@@ -12,7 +12,7 @@
 /// What decisions on requests may know of this instance and the others.
 template<typename View>
 concept instance_view = requires(View const& aView,
-                                 instance_life const& aLife,
+                                 instance_identity const& aIdentity,
                                  instant aNow)
 {
   /// Whether this instance knows enough to decide on keyed work.
@@ -29,7 +29,7 @@
     } -> std::same_as<bool>;
   /// Whether that life of an instance may still be running.
   {
-    aView.IsAlive(aLife)
+    aView.IsAlive(aIdentity)
     } -> std::same_as<bool>;
 };
 
--- a/Libraries/LibControl/RequestDirector.h
+++ b/Libraries/LibControl/RequestDirector.h
@@ -88,7 +88,7 @@
   }
 
   /// A caller has gone: what it asked for is ended wherever it stands.
-  void Handle(caller_gone aGone, instant aNow)
+  void Handle(caller_disconnected aGone, instant aNow)
   {
     call_state* const found = mCalls.Find(aGone.mCall);
     if (!found)
@@ -139,8 +139,8 @@
   /// Takes the decisions that are due in the gate, the budget and the queues.
   void Tick(instant aNow)
   {
-    mParts.mGate.Tick(aNow, [this](instance_life const& aLife) {
-      return mView.IsAlive(aLife);
+    mParts.mGate.Tick(aNow, [this](instance_identity const& aIdentity) {
+      return mView.IsAlive(aIdentity);
     });
     for (once_decision& decision : mParts.mGate.TakeDecisions())
       OnClaimed(decision, aNow);
--- a/Libraries/LibControl/RequestDirectorStages.h
+++ b/Libraries/LibControl/RequestDirectorStages.h
@@ -25,11 +25,12 @@
 request_director<Ports, View, Policy>::Claim(call_state const& aCall,
                                              instant aNow)
 {
-  mParts.mGate.Begin(
-    aNow,
-    ClaimOf(aCall, aNow),
-    mView.Log(aNow),
-    [this](instance_life const& aLife) { return mView.IsAlive(aLife); });
+  mParts.mGate.Begin(aNow,
+                     ClaimOf(aCall, aNow),
+                     mView.Log(aNow),
+                     [this](instance_identity const& aIdentity) {
+                       return mView.IsAlive(aIdentity);
+                     });
 }
 
 template<control_ports Ports, instance_view View, placement_policy Policy>
--- a/Libraries/LibDispatch/ChooseServer.cpp
+++ b/Libraries/LibDispatch/ChooseServer.cpp
@@ -18,19 +18,20 @@
 
 // Answers on weights that were replaced so long ago are refused or worthless.
 bool
-IsOutdated(served_server const& aServer, server_choice_request const& aRequest)
+IsOutdated(tracked_server const& aServer, server_choice_request const& aRequest)
 {
   if (aRequest.mWeights == nullptr)
     return false;
   std::optional<instant> const replaced = aRequest.mWeights->ReplacedSince(
-    aServer.mListed.VersionOf(aRequest.mModel));
+    aServer.mRegistered.VersionOf(aRequest.mModel));
   return replaced && aRequest.mNow - *replaced > aRequest.mOutdatedAfter;
 }
 
 bool
-MayTakeWork(served_server const& aServer, server_choice_request const& aRequest)
+MayTakeWork(tracked_server const& aServer,
+            server_choice_request const& aRequest)
 {
-  if (aServer.mListed.mStage != server_stage::Ready || aServer.mIsTurning)
+  if (aServer.mRegistered.mStage != server_stage::Ready || aServer.mIsUpdating)
     return false;
   if (IsOutdated(aServer, aRequest))
     return false;
@@ -41,15 +42,15 @@
     return false;
   return std::find(aRequest.mTried.begin(),
                    aRequest.mTried.end(),
-                   aServer.mListed.mId) == aRequest.mTried.end();
+                   aServer.mRegistered.mId) == aRequest.mTried.end();
 }
 
-std::vector<served_server*>
-Usable(std::span<served_server* const> aServers,
+std::vector<tracked_server*>
+Usable(std::span<tracked_server* const> aServers,
        server_choice_request const& aRequest)
 {
-  std::vector<served_server*> usable;
-  for (served_server* const server : aServers) {
+  std::vector<tracked_server*> usable;
+  for (tracked_server* const server : aServers) {
     if (MayTakeWork(*server, aRequest))
       usable.push_back(server);
   }
@@ -57,25 +58,25 @@
 }
 
 double
-MeanPressure(std::span<served_server* const> aServers, instant aNow)
+MeanPressure(std::span<tracked_server* const> aServers, instant aNow)
 {
   double sum = 0;
-  for (served_server const* const server : aServers)
+  for (tracked_server const* const server : aServers)
     sum += server->Pressure(aNow);
   return aServers.empty() ? 0 : sum / static_cast<double>(aServers.size());
 }
 
-served_server*
-LeastLoaded(std::span<served_server* const> aServers,
+tracked_server*
+LeastLoaded(std::span<tracked_server* const> aServers,
             server_choice_request const& aRequest)
 {
-  served_server* best = nullptr;
+  tracked_server* best = nullptr;
   double bestPressure = std::numeric_limits<double>::max();
-  for (served_server* const server : aServers) {
+  for (tracked_server* const server : aServers) {
     double const pressure = server->Pressure(aRequest.mNow);
     bool const isNearer = best != nullptr &&
-                          best->mListed.mDomain != aRequest.mDomain &&
-                          server->mListed.mDomain == aRequest.mDomain;
+                          best->mRegistered.mDomain != aRequest.mDomain &&
+                          server->mRegistered.mDomain == aRequest.mDomain;
     if (pressure < bestPressure || (pressure == bestPressure && isNearer)) {
       best = server;
       bestPressure = pressure;
@@ -86,14 +87,14 @@
 
 // The server with the highest rank for a prompt among those that pass.
 template<typename Predicate>
-served_server*
-HighestRanked(std::span<served_server* const> aServers,
+tracked_server*
+HighestRanked(std::span<tracked_server* const> aServers,
               std::uint64_t aPromptKey,
               Predicate aPasses)
 {
-  served_server* best = nullptr;
+  tracked_server* best = nullptr;
   std::uint64_t bestRank = 0;
-  for (served_server* const server : aServers) {
+  for (tracked_server* const server : aServers) {
     if (!aPasses(*server))
       continue;
     std::uint64_t const rank = RendezvousRank(aPromptKey, server->mSeed);
@@ -105,30 +106,31 @@
   return best;
 }
 
-served_server*
-FirstInOrder(std::span<served_server* const> aServers,
+tracked_server*
+FirstInOrder(std::span<tracked_server* const> aServers,
              server_choice_request const& aRequest)
 {
   double const bound =
     kLoadFactor * MeanPressure(aServers, aRequest.mNow) + kLoadAllowance;
   return HighestRanked(aServers,
                        *aRequest.mPromptKey,
-                       [&aRequest, bound](served_server const& aServer) {
+                       [&aRequest, bound](tracked_server const& aServer) {
                          return aServer.Pressure(aRequest.mNow) <= bound;
                        });
 }
 
 // By the version of their weights, the newest first.
-std::vector<std::vector<served_server*>>
-GroupByVersion(std::vector<served_server*> aServers, model_name const& aModel)
+std::vector<std::vector<tracked_server*>>
+GroupByVersion(std::vector<tracked_server*> aServers, model_name const& aModel)
 {
-  auto const isNewer = [&aModel](served_server const* aLeft,
-                                 served_server const* aRight) {
-    return aLeft->mListed.VersionOf(aModel) > aRight->mListed.VersionOf(aModel);
+  auto const isNewer = [&aModel](tracked_server const* aLeft,
+                                 tracked_server const* aRight) {
+    return aLeft->mRegistered.VersionOf(aModel) >
+           aRight->mRegistered.VersionOf(aModel);
   };
   std::stable_sort(aServers.begin(), aServers.end(), isNewer);
-  std::vector<std::vector<served_server*>> groups;
-  for (served_server* const server : aServers) {
+  std::vector<std::vector<tracked_server*>> groups;
+  for (tracked_server* const server : aServers) {
     if (groups.empty() || isNewer(groups.back().back(), server))
       groups.emplace_back();
     groups.back().push_back(server);
@@ -138,15 +140,15 @@
 
 // Servers with the newest weights while they can bear the load, else those
 // with older ones.
-served_server*
-ChooseEngine(std::vector<served_server*> const& aServers,
+tracked_server*
+ChooseEngine(std::vector<tracked_server*> const& aServers,
              server_choice_request const& aRequest)
 {
-  for (std::vector<served_server*> const& group :
+  for (std::vector<tracked_server*> const& group :
        GroupByVersion(aServers, aRequest.mModel)) {
-    served_server* const first = aRequest.mPromptKey
-                                   ? FirstInOrder(group, aRequest)
-                                   : LeastLoaded(group, aRequest);
+    tracked_server* const first = aRequest.mPromptKey
+                                    ? FirstInOrder(group, aRequest)
+                                    : LeastLoaded(group, aRequest);
     if (first != nullptr && first->Pressure(aRequest.mNow) < kBusyPressure)
       return first;
   }
@@ -165,28 +167,28 @@
   return value ^ (value >> 31U);
 }
 
-served_server*
-ChooseServer(std::span<served_server* const> aServers,
+tracked_server*
+ChooseServer(std::span<tracked_server* const> aServers,
              server_choice_request const& aRequest)
 {
-  std::vector<served_server*> const usable = Usable(aServers, aRequest);
+  std::vector<tracked_server*> const usable = Usable(aServers, aRequest);
   if (!aRequest.mModel.IsEmpty())
     return ChooseEngine(usable, aRequest);
   return LeastLoaded(usable, aRequest);
 }
 
-served_server*
-ChooseCacheSource(std::span<served_server* const> aServers,
+tracked_server*
+ChooseCacheSource(std::span<tracked_server* const> aServers,
                   server_choice_request const& aRequest,
-                  served_server const& aChosen)
+                  tracked_server const& aChosen)
 {
   if (!aRequest.mPromptKey)
     return nullptr;
-  std::uint64_t const version = aChosen.mListed.VersionOf(aRequest.mModel);
+  std::uint64_t const version = aChosen.mRegistered.VersionOf(aRequest.mModel);
   return HighestRanked(
-    aServers, *aRequest.mPromptKey, [&](served_server const& aServer) {
-      return &aServer != &aChosen && !aServer.mIsTurning &&
-             aServer.mListed.VersionOf(aRequest.mModel) == version &&
+    aServers, *aRequest.mPromptKey, [&](tracked_server const& aServer) {
+      return &aServer != &aChosen && !aServer.mIsUpdating &&
+             aServer.mRegistered.VersionOf(aRequest.mModel) == version &&
              aServer.mBreaker.State(aRequest.mNow) != breaker_state::Open;
     });
 }
--- a/Libraries/LibDispatch/ChooseServer.h
+++ b/Libraries/LibDispatch/ChooseServer.h
@@ -1,7 +1,7 @@
 #pragma once
 
-#include <LibDispatch/ServedServer.h>
 #include <LibDispatch/ServerChoiceRequest.h>
+#include <LibDispatch/TrackedServer.h>
 
 #include <span>
 
@@ -13,16 +13,16 @@
 /// that don't talk choose the same server for a prompt, among the servers
 /// with the newest weights while these can bear the load. Plain requests go
 /// to the least loaded server, the own failure domain first among equals.
-served_server*
-ChooseServer(std::span<served_server* const> aServers,
+tracked_server*
+ChooseServer(std::span<tracked_server* const> aServers,
              server_choice_request const& aRequest);
 
 /// The server that most likely holds a prompt's shared part besides aChosen:
 /// the next one in the order of the rendezvous with the same weights.
-served_server*
-ChooseCacheSource(std::span<served_server* const> aServers,
+tracked_server*
+ChooseCacheSource(std::span<tracked_server* const> aServers,
                   server_choice_request const& aRequest,
-                  served_server const& aChosen);
+                  tracked_server const& aChosen);
 
 /// The place of a server in the order for a prompt; the highest is first.
 std::uint64_t
--- a/Libraries/LibDispatch/CrashLedger.cpp
+++ b/Libraries/LibDispatch/CrashTracker.cpp
@@ -1,4 +1,4 @@
-#include <LibDispatch/CrashLedger.h>
+#include <LibDispatch/CrashTracker.h>
 
 #include <chrono>
 
@@ -16,7 +16,7 @@
 }
 
 void
-crash_ledger::OnCrash(instant aNow, fingerprint aRequest, std::uint32_t aCount)
+crash_tracker::OnCrash(instant aNow, fingerprint aRequest, std::uint32_t aCount)
 {
   record& found = mCrashes[aRequest];
   found.mCount += aCount;
@@ -24,7 +24,7 @@
 }
 
 bool
-crash_ledger::IsPoison(instant aNow, fingerprint aRequest) const
+crash_tracker::IsPoison(instant aNow, fingerprint aRequest) const
 {
   auto const found = mCrashes.find(aRequest);
   return found != mCrashes.end() && found->second.mCount >= kCrashesOfPoison &&
@@ -32,7 +32,7 @@
 }
 
 void
-crash_ledger::Prune(instant aNow)
+crash_tracker::Prune(instant aNow)
 {
   std::erase_if(mCrashes, [aNow](auto const& aEntry) {
     return aNow - aEntry.second.mLastAt >= kMemory;
--- a/Libraries/LibDispatch/CrashLedger.h
+++ b/Libraries/LibDispatch/CrashTracker.h
@@ -10,7 +10,7 @@
 
 /// Counts the servers that were lost while they ran a request, by the
 /// request's fingerprint, and tells when to stop sending it.
-class crash_ledger
+class crash_tracker
 {
 public:
   using fingerprint = std::uint64_t;
--- a/Libraries/LibDispatch/DispatchPool.h
+++ b/Libraries/LibDispatch/DispatchPool.h
@@ -2,7 +2,7 @@
 
 #include <LibCore/Endpoint.h>
 #include <LibCore/Identifiers.h>
-#include <LibDispatch/EngineTerms.h>
+#include <LibDispatch/EngineParameters.h>
 
 #include <cstdint>
 #include <optional>
@@ -16,7 +16,7 @@
   /// Connections that one server accepts from all callers together.
   std::uint32_t mMaxConnections = 0;
   /// Set for pools of model engines.
-  std::optional<engine_terms> mEngine;
+  std::optional<engine_parameters> mEngine;
   /// Set for a store of KV cache, which no route leads to.
   std::optional<endpoint> mCacheStore;
 };
--- a/Libraries/LibDispatch/DispatchRoute.h
+++ b/Libraries/LibDispatch/DispatchRoute.h
@@ -2,8 +2,8 @@
 
 #include <LibCore/Identifiers.h>
 #include <LibCore/Instant.h>
+#include <LibDispatch/RequestKind.h>
 #include <LibDispatch/RouteShare.h>
-#include <LibDispatch/WorkKind.h>
 
 #include <cstdint>
 #include <string>
@@ -18,7 +18,7 @@
   std::string mHost;
   /// Begins and ends with a slash.
   std::string mPathPrefix;
-  work_kind mKind = work_kind::NonIdempotent;
+  request_kind mKind = request_kind::NonIdempotent;
   std::vector<route_share> mShares;
   /// The longest that a caller may be kept waiting.
   duration mTimeout{};
@@ -34,8 +34,8 @@
   /// True when a request may be sent again after it may have run.
   [[nodiscard]] bool MayRepeat() const noexcept
   {
-    return mKind == work_kind::Idempotent ||
-           (mKind == work_kind::Stream && mIsResumable);
+    return mKind == request_kind::Idempotent ||
+           (mKind == request_kind::Stream && mIsResumable);
   }
 };
 
--- a/Libraries/LibDispatch/EngineTerms.h
+++ b/Libraries/LibDispatch/EngineParameters.h
@@ -8,7 +8,7 @@
 namespace lycheeseam {
 
 /// What a pool's model engines have in common.
-struct engine_terms
+struct engine_parameters
 {
   /// Requests that run at once on one engine.
   std::uint32_t mSlots = 0;
--- a/Libraries/LibDispatch/FindServer.cpp
+++ b/Libraries/LibDispatch/FindServer.cpp
@@ -2,11 +2,11 @@
 
 namespace lycheeseam {
 
-listed_server const*
-FindServer(std::span<listed_server const> aServers,
+registered_server const*
+FindServer(std::span<registered_server const> aServers,
            backend_server_id const& aId)
 {
-  for (listed_server const& server : aServers) {
+  for (registered_server const& server : aServers) {
     if (server.mId == aId)
       return &server;
   }
--- a/Libraries/LibDispatch/FindServer.h
+++ b/Libraries/LibDispatch/FindServer.h
@@ -1,14 +1,14 @@
 #pragma once
 
-#include <LibDispatch/ListedServer.h>
+#include <LibDispatch/RegisteredServer.h>
 
 #include <span>
 
 namespace lycheeseam {
 
 /// A server by its id, or null.
-listed_server const*
-FindServer(std::span<listed_server const> aServers,
+registered_server const*
+FindServer(std::span<registered_server const> aServers,
            backend_server_id const& aId);
 
 }
--- a/Libraries/LibDispatch/SeenWeights.h
+++ b/Libraries/LibDispatch/ObservedWeights.h
@@ -7,14 +7,14 @@
 namespace lycheeseam {
 
 /// The weights that an answer or a state report of an engine showed.
-struct seen_weights
+struct observed_weights
 {
   backend_server_id mServer;
-  incarnation mLife;
+  incarnation mIncarnation;
   model_name mModel;
   std::uint64_t mVersion = 0;
 
-  bool operator==(seen_weights const&) const = default;
+  bool operator==(observed_weights const&) const = default;
 };
 
 }
--- a/Libraries/LibDispatch/PrefixMemory.cpp
+++ b/Libraries/LibDispatch/PrefixIndex.cpp
@@ -1,4 +1,4 @@
-#include <LibDispatch/PrefixMemory.h>
+#include <LibDispatch/PrefixIndex.h>
 
 #include <chrono>
 
@@ -17,7 +17,7 @@
 }
 
 void
-prefix_memory::OnServed(instant aNow, prefix_holder const& aHolder)
+prefix_index::OnServed(instant aNow, prefix_holder const& aHolder)
 {
   record& found = mRecords[aHolder.mKey];
   found.mServer = aHolder.mServer;
@@ -27,13 +27,13 @@
 }
 
 void
-prefix_memory::OnSaved(instant aNow, std::uint64_t aKey)
+prefix_index::OnSaved(instant aNow, std::uint64_t aKey)
 {
   mRecords[aKey].mSavedAt = aNow;
 }
 
 std::optional<backend_server_id>
-prefix_memory::Holder(instant aNow, std::uint64_t aKey) const
+prefix_index::Holder(instant aNow, std::uint64_t aKey) const
 {
   auto const found = mRecords.find(aKey);
   if (found == mRecords.end() || found->second.mServer.IsEmpty() ||
@@ -43,7 +43,7 @@
 }
 
 bool
-prefix_memory::IsSaved(instant aNow, std::uint64_t aKey) const
+prefix_index::IsSaved(instant aNow, std::uint64_t aKey) const
 {
   auto const found = mRecords.find(aKey);
   return found != mRecords.end() && found->second.mSavedAt &&
@@ -51,7 +51,7 @@
 }
 
 void
-prefix_memory::Prune(instant aNow)
+prefix_index::Prune(instant aNow)
 {
   std::erase_if(mRecords, [aNow](auto const& aEntry) {
     record const& known = aEntry.second;
--- a/Libraries/LibDispatch/PrefixMemory.h
+++ b/Libraries/LibDispatch/PrefixIndex.h
@@ -13,7 +13,7 @@
 /// Where this instance last sent each shared prompt part. A key covers the
 /// part, its workspace's isolation and the weights' version, so an entry never
 /// leads across any of them.
-class prefix_memory
+class prefix_index
 {
 public:
   /// A request with the part was answered by a server.
--- a/Libraries/LibDispatch/QuotaLedger.cpp
+++ b/Libraries/LibDispatch/QuotaLimiter.cpp
@@ -1,12 +1,12 @@
-#include <LibDispatch/QuotaLedger.h>
+#include <LibDispatch/QuotaLimiter.h>
 
 #include <algorithm>
 #include <chrono>
 
 namespace lycheeseam {
 
-quota_ledger::account&
-quota_ledger::Find(workspace_id const& aWorkspace)
+quota_limiter::account&
+quota_limiter::Find(workspace_id const& aWorkspace)
 {
   return mAccounts
     .try_emplace(aWorkspace,
@@ -14,8 +14,8 @@
     .first->second;
 }
 
-quota_ledger::account&
-quota_ledger::FindFilled(instant aNow, dispatch_workspace const& aWorkspace)
+quota_limiter::account&
+quota_limiter::FindFilled(instant aNow, dispatch_workspace const& aWorkspace)
 {
   account& found = Find(aWorkspace.mName);
   if (!mStartedAt)
@@ -29,11 +29,11 @@
 }
 
 void
-quota_ledger::TakeUsed(instant aNow, std::vector<spent_units> const& aUsed)
+quota_limiter::TakeUsed(instant aNow, std::vector<workspace_usage> const& aUsed)
 {
   if (aUsed.empty() || !mStartedAt || aNow - *mStartedAt >= mTerms.mWindow)
     return;
-  for (spent_units const& used : aUsed) {
+  for (workspace_usage const& used : aUsed) {
     account& found = Find(used.mWorkspace);
     if (found.mIsFilled && !found.mIsAssumed)
       continue;
@@ -45,27 +45,28 @@
 }
 
 void
-quota_ledger::Apply(instant aNow, fleet_view const& aView)
+quota_limiter::Apply(instant aNow, fleet_view const& aView)
 {
   if (!mStartedAt && aView.mConfig)
     mStartedAt = aNow;
   TakeUsed(aNow, aView.mUsedElsewhere);
   mReportDelay = aView.mReportDelay;
-  mOpenShare = static_cast<double>(aView.mInstances - aView.mSilentInstances) /
-               aView.mInstances;
-  for (spent_units const& spent : aView.mSpentElsewhere) {
+  mOpenShare =
+    static_cast<double>(aView.mInstances - aView.mUnresponsiveInstances) /
+    aView.mInstances;
+  for (workspace_usage const& spent : aView.mSpentElsewhere) {
     account& found = Find(spent.mWorkspace);
     // The sum falls when an instance leaves it; that gives nothing back.
     found.mWindow.Add(aNow, std::max(0.0, spent.mUnits - found.mSeenElsewhere));
     found.mSeenElsewhere = spent.mUnits;
-    found.mLatelyAsked.Add(aNow,
-                           std::max(0.0, spent.mAsked - found.mAskedElsewhere));
-    found.mAskedElsewhere = spent.mAsked;
+    found.mLatelyAsked.Add(
+      aNow, std::max(0.0, spent.mDemand - found.mAskedElsewhere));
+    found.mAskedElsewhere = spent.mDemand;
   }
 }
 
 double
-quota_ledger::Limit(dispatch_workspace const& aWorkspace) const
+quota_limiter::Limit(dispatch_workspace const& aWorkspace) const
 {
   double const seconds = std::chrono::duration<double>(mTerms.mWindow).count();
   double const within = aWorkspace.mRate * seconds + aWorkspace.mBurst;
@@ -73,15 +74,15 @@
 }
 
 double
-quota_ledger::Used(instant aNow, workspace_id const& aWorkspace)
+quota_limiter::Used(instant aNow, workspace_id const& aWorkspace)
 {
   return Find(aWorkspace).mWindow.Sum(aNow);
 }
 
 bool
-quota_ledger::TryCharge(instant aNow,
-                        dispatch_workspace const& aWorkspace,
-                        double aUnits)
+quota_limiter::TryCharge(instant aNow,
+                         dispatch_workspace const& aWorkspace,
+                         double aUnits)
 {
   account& found = FindFilled(aNow, aWorkspace);
   found.mAsked += aUnits;
@@ -96,7 +97,7 @@
 }
 
 bool
-quota_ledger::IsDrawn(instant aNow, account& aAccount, double aRoom)
+quota_limiter::IsDrawn(instant aNow, account& aAccount, double aRoom)
 {
   double const reports =
     std::chrono::duration<double>(mReportDelay) / kPaceTime;
@@ -106,9 +107,9 @@
 }
 
 void
-quota_ledger::Refund(instant aNow,
-                     workspace_id const& aWorkspace,
-                     double aUnits)
+quota_limiter::Refund(instant aNow,
+                      workspace_id const& aWorkspace,
+                      double aUnits)
 {
   account& found = Find(aWorkspace);
   found.mWindow.Add(aNow, -aUnits);
@@ -116,19 +117,19 @@
 }
 
 duration
-quota_ledger::WaitFor(instant aNow,
-                      dispatch_workspace const& aWorkspace,
-                      double aUnits)
+quota_limiter::WaitFor(instant aNow,
+                       dispatch_workspace const& aWorkspace,
+                       double aUnits)
 {
   account& found = Find(aWorkspace.mName);
   return found.mWindow.WaitFor(found.mWindow.Sum(aNow) + aUnits -
                                Limit(aWorkspace));
 }
 
-std::vector<spent_units>
-quota_ledger::UsedByAll(instant aNow)
+std::vector<workspace_usage>
+quota_limiter::UsedByAll(instant aNow)
 {
-  std::vector<spent_units> used;
+  std::vector<workspace_usage> used;
   if (!mStartedAt || aNow - *mStartedAt < mTerms.mWindow)
     return used;
   for (accounts::value_type& entry : mAccounts)
@@ -137,13 +138,13 @@
   return used;
 }
 
-std::vector<spent_units>
-quota_ledger::Spent() const
+std::vector<workspace_usage>
+quota_limiter::Spent() const
 {
-  std::vector<spent_units> spent;
+  std::vector<workspace_usage> spent;
   for (auto const& [name, found] : mAccounts)
     spent.push_back(
-      { .mWorkspace = name, .mUnits = found.mSpent, .mAsked = found.mAsked });
+      { .mWorkspace = name, .mUnits = found.mSpent, .mDemand = found.mAsked });
   return spent;
 }
 
--- a/Libraries/LibDispatch/QuotaLedger.h
+++ b/Libraries/LibDispatch/QuotaLimiter.h
@@ -2,7 +2,7 @@
 
 #include <LibCore/Instant.h>
 #include <LibDispatch/FleetView.h>
-#include <LibDispatch/QuotaTerms.h>
+#include <LibDispatch/QuotaParameters.h>
 #include <LibDispatch/QuotaWindow.h>
 
 #include <chrono>
@@ -25,10 +25,10 @@
 /// What others admitted is known late. While all instances together are asked
 /// for more in that time than a window still holds, each admits only such a
 /// part of what it is asked for, by chance, that together they fill it.
-class quota_ledger
+class quota_limiter
 {
 public:
-  explicit quota_ledger(quota_terms aTerms)
+  explicit quota_limiter(quota_parameters aTerms)
     : mTerms(aTerms)
     , mRandom(aTerms.mSeed)
   {
@@ -58,10 +58,10 @@
 
   /// What all instances admitted in the window that ends now; empty until this
   /// one has counted for a whole window.
-  [[nodiscard]] std::vector<spent_units> UsedByAll(instant aNow);
+  [[nodiscard]] std::vector<workspace_usage> UsedByAll(instant aNow);
 
   /// What this instance admitted since its start.
-  [[nodiscard]] std::vector<spent_units> Spent() const;
+  [[nodiscard]] std::vector<workspace_usage> Spent() const;
 
 private:
   // Over this span it is measured how much is asked for.
@@ -84,13 +84,13 @@
   using accounts = std::map<workspace_id, account>;
 
   account& Find(workspace_id const& aWorkspace);
-  void TakeUsed(instant aNow, std::vector<spent_units> const& aUsed);
+  void TakeUsed(instant aNow, std::vector<workspace_usage> const& aUsed);
   [[nodiscard]] bool IsDrawn(instant aNow, account& aAccount, double aRoom);
   account& FindFilled(instant aNow, dispatch_workspace const& aWorkspace);
 
-  quota_terms mTerms;
+  quota_parameters mTerms;
   accounts mAccounts;
-  /// When the ledger was first used.
+  /// When the limiter was first used.
   std::optional<instant> mStartedAt;
   /// The part of rates and bursts that silent instances don't hold.
   double mOpenShare = 1.0;
--- a/Libraries/LibDispatch/QuotaTerms.h
+++ b/Libraries/LibDispatch/QuotaParameters.h
@@ -8,7 +8,7 @@
 namespace lycheeseam {
 
 /// What counts as within a workspace's rate and burst.
-struct quota_terms
+struct quota_parameters
 {
   /// Any span of this length is held against the limit.
   duration mWindow = std::chrono::seconds{ 8 };
--- a/Libraries/LibDispatch/ListedServer.h
+++ b/Libraries/LibDispatch/RegisteredServer.h
@@ -11,12 +11,12 @@
 namespace lycheeseam {
 
 /// One backend server as it registered itself.
-struct listed_server
+struct registered_server
 {
   backend_server_id mId;
   /// When it started, in Unix milliseconds: a restart under the same id
   /// knows nothing of before.
-  incarnation mLife;
+  incarnation mIncarnation;
   pool_name mPool;
   endpoint mAddress;
   failure_domain mDomain;
@@ -24,7 +24,7 @@
   server_stage mStage = server_stage::Ready;
   std::vector<loaded_model> mModels;
 
-  bool operator==(listed_server const&) const = default;
+  bool operator==(registered_server const&) const = default;
 
   /// Takes a version that is newer than the one known; true when it was.
   bool RaiseVersion(model_name const& aModel, std::uint64_t aVersion)
@@ -38,9 +38,9 @@
     return false;
   }
 
-  /// Keeps what is known of the same life where it is newer: versions only
-  /// grow within a life.
-  void KeepNewerVersions(listed_server const& aKnown)
+  /// Keeps what is known of the same incarnation where it is newer: versions
+  /// only grow within an incarnation.
+  void KeepNewerVersions(registered_server const& aKnown)
   {
     for (loaded_model const& model : aKnown.mModels)
       RaiseVersion(model.mModel, model.mVersion);
--- a/Libraries/LibDispatch/WorkKind.h
+++ b/Libraries/LibDispatch/RequestKind.h
@@ -3,7 +3,7 @@
 namespace lycheeseam {
 
 /// What a route's requests allow to be repeated.
-enum class work_kind
+enum class request_kind
 {
   /// May run more than once.
   Idempotent,
--- a/Libraries/LibDispatch/RequestFacts.h
+++ b/Libraries/LibDispatch/RequestProperties.h
@@ -13,7 +13,7 @@
 
 /// What decisions need to know of a caller's request; read from its head by
 /// the front end that took it.
-struct request_facts
+struct request_properties
 {
   request_id mId;
   std::string mHost;
--- a/Libraries/LibDispatch/ServerChoiceRequest.h
+++ b/Libraries/LibDispatch/ServerChoiceRequest.h
@@ -2,7 +2,7 @@
 
 #include <LibCore/Identifiers.h>
 #include <LibCore/Instant.h>
-#include <LibDispatch/NamedWeights.h>
+#include <LibDispatch/TargetWeights.h>
 
 #include <cstdint>
 #include <optional>
@@ -20,7 +20,7 @@
   /// Empty for plain services.
   model_name mModel;
   /// The weights that operators named for the model; null for none.
-  named_weights const* mWeights = nullptr;
+  target_weights const* mWeights = nullptr;
   /// How long after newer weights were named older ones may still be used.
   duration mOutdatedAfter{ duration::max() };
   /// Servers that this request was sent to already.
--- a/Libraries/LibDispatch/ServerTable.cpp
+++ b/Libraries/LibDispatch/ServerTable.cpp
@@ -14,13 +14,13 @@
   return pool != nullptr && pool->mEngine ? pool->mEngine->mMemoryTokens : 0;
 }
 
-std::shared_ptr<served_server>
-MakeServer(listed_server const& aListed)
+std::shared_ptr<tracked_server>
+MakeServer(registered_server const& aRegistered)
 {
-  std::shared_ptr<served_server> made = std::make_shared<served_server>();
-  made->mListed = aListed;
+  std::shared_ptr<tracked_server> made = std::make_shared<tracked_server>();
+  made->mRegistered = aRegistered;
   made->mSeed =
-    XXH3_64bits(aListed.mId.Text().data(), aListed.mId.Text().size());
+    XXH3_64bits(aRegistered.mId.Text().data(), aRegistered.mId.Text().size());
   return made;
 }
 
@@ -29,27 +29,27 @@
 void
 server_table::Apply(fleet_view const& aView)
 {
-  std::map<backend_server_id, std::shared_ptr<served_server>> next;
-  for (listed_server const& listed : aView.mServers) {
-    std::shared_ptr<served_server> known = Find(listed.mId);
-    if (!known || known->mListed.mLife != listed.mLife) {
-      known = MakeServer(listed);
+  std::map<backend_server_id, std::shared_ptr<tracked_server>> next;
+  for (registered_server const& registered : aView.mServers) {
+    std::shared_ptr<tracked_server> known = Find(registered.mId);
+    if (!known || known->mRegistered.mIncarnation != registered.mIncarnation) {
+      known = MakeServer(registered);
     } else {
-      listed_server merged = listed;
-      merged.KeepNewerVersions(known->mListed);
-      known->mListed = std::move(merged);
+      registered_server merged = registered;
+      merged.KeepNewerVersions(known->mRegistered);
+      known->mRegistered = std::move(merged);
     }
-    known->mIsTurning = aView.mTurning.contains(listed.mId);
-    known->mMemoryTokens = MemoryTokens(aView, listed.mPool);
-    next.emplace(listed.mId, std::move(known));
+    known->mIsUpdating = aView.mUpdating.contains(registered.mId);
+    known->mMemoryTokens = MemoryTokens(aView, registered.mPool);
+    next.emplace(registered.mId, std::move(known));
   }
   mServers.swap(next);
   mPools.clear();
   for (auto const& [id, server] : mServers)
-    mPools[server->mListed.mPool].push_back(server.get());
+    mPools[server->mRegistered.mPool].push_back(server.get());
 }
 
-std::span<served_server* const>
+std::span<tracked_server* const>
 server_table::Pool(pool_name const& aPool) const
 {
   auto const found = mPools.find(aPool);
@@ -58,7 +58,7 @@
   return found->second;
 }
 
-std::shared_ptr<served_server>
+std::shared_ptr<tracked_server>
 server_table::Find(backend_server_id const& aId) const
 {
   auto const found = mServers.find(aId);
--- a/Libraries/LibDispatch/ServerTable.h
+++ b/Libraries/LibDispatch/ServerTable.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include <LibDispatch/FleetView.h>
-#include <LibDispatch/ServedServer.h>
+#include <LibDispatch/TrackedServer.h>
 
 #include <map>
 #include <memory>
@@ -19,24 +19,24 @@
   void Apply(fleet_view const& aView);
 
   /// The servers of a pool.
-  [[nodiscard]] std::span<served_server* const> Pool(
+  [[nodiscard]] std::span<tracked_server* const> Pool(
     pool_name const& aPool) const;
 
   /// A server by its id, shared with the requests that it runs, or null.
-  [[nodiscard]] std::shared_ptr<served_server> Find(
+  [[nodiscard]] std::shared_ptr<tracked_server> Find(
     backend_server_id const& aId) const;
 
   /// All servers.
   [[nodiscard]] std::map<backend_server_id,
-                         std::shared_ptr<served_server>> const&
+                         std::shared_ptr<tracked_server>> const&
   Servers() const noexcept
   {
     return mServers;
   }
 
 private:
-  std::map<backend_server_id, std::shared_ptr<served_server>> mServers;
-  std::map<pool_name, std::vector<served_server*>> mPools;
+  std::map<backend_server_id, std::shared_ptr<tracked_server>> mServers;
+  std::map<pool_name, std::vector<tracked_server*>> mPools;
 };
 
 }
--- a/Libraries/LibDispatch/NamedVersion.h
+++ b/Libraries/LibDispatch/TargetVersion.h
@@ -6,8 +6,8 @@
 
 namespace lycheeseam {
 
-/// A version of a model's weights that operators named.
-struct named_version
+/// A version of a model's weights that operators set as a target.
+struct target_version
 {
   std::uint64_t mVersion = 0;
   /// When this instance learned of it.
--- a/Libraries/LibDispatch/NamedWeights.h
+++ b/Libraries/LibDispatch/TargetWeights.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include <LibCore/Identifiers.h>
-#include <LibDispatch/NamedVersion.h>
+#include <LibDispatch/TargetVersion.h>
 
 #include <cstdint>
 #include <optional>
@@ -9,12 +9,12 @@
 
 namespace lycheeseam {
 
-/// The weights that operators named for a model.
-struct named_weights
+/// The target weights that operators set for a model.
+struct target_weights
 {
   model_name mModel;
   /// In the order of their versions; the last one is the newest.
-  std::vector<named_version> mVersions;
+  std::vector<target_version> mVersions;
 
   /// The newest version; 0 for none.
   [[nodiscard]] std::uint64_t Newest() const
@@ -27,7 +27,7 @@
   [[nodiscard]] std::optional<instant> ReplacedSince(
     std::uint64_t aVersion) const
   {
-    for (named_version const& named : mVersions) {
+    for (target_version const& named : mVersions) {
       if (named.mVersion > aVersion)
         return named.mLearnedAt;
     }
--- a/Libraries/LibDispatch/ServedServer.cpp
+++ b/Libraries/LibDispatch/TrackedServer.cpp
@@ -1,4 +1,4 @@
-#include <LibDispatch/ServedServer.h>
+#include <LibDispatch/TrackedServer.h>
 
 #include <algorithm>
 #include <chrono>
@@ -16,7 +16,7 @@
 }
 
 std::uint32_t
-served_server::EstimatedRequests(instant aNow) const
+tracked_server::EstimatedRequests(instant aNow) const
 {
   if (!mLoad || aNow - mLoad->mToldAt > kLoadLifetime)
     return mInFlight;
@@ -26,7 +26,7 @@
 }
 
 void
-served_server::OnStart(token_count aTokens)
+tracked_server::OnStart(token_count aTokens)
 {
   mInFlight += 1;
   mInFlightTokens += aTokens;
@@ -34,18 +34,18 @@
 }
 
 void
-served_server::OnEnd(token_count aTokens)
+tracked_server::OnEnd(token_count aTokens)
 {
   mInFlight -= 1;
   mInFlightTokens -= aTokens;
 }
 
 double
-served_server::Pressure(instant aNow) const
+tracked_server::Pressure(instant aNow) const
 {
   std::uint32_t const requests = EstimatedRequests(aNow);
-  double const slots =
-    static_cast<double>(requests) / std::max<std::uint32_t>(1, mListed.mSlots);
+  double const slots = static_cast<double>(requests) /
+                       std::max<std::uint32_t>(1, mRegistered.mSlots);
   if (mMemoryTokens <= 0)
     return slots;
   double const tokens = static_cast<double>(mInFlightTokens) +
--- a/Libraries/LibDispatch/ServedServer.h
+++ b/Libraries/LibDispatch/TrackedServer.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include <LibAdmission/CircuitBreaker.h>
-#include <LibDispatch/ListedServer.h>
+#include <LibDispatch/RegisteredServer.h>
 #include <LibDispatch/ReportedLoad.h>
 
 #include <cstdint>
@@ -9,15 +9,15 @@
 
 namespace lycheeseam {
 
-/// What the traffic thread knows of one life of a backend server beyond its
-/// entry: its own requests there and what their answers showed.
-struct served_server
+/// What the traffic thread knows of one incarnation of a backend server beyond
+/// its entry: its own requests there and what their answers showed.
+struct tracked_server
 {
-  listed_server mListed;
+  registered_server mRegistered;
   /// Differs from server to server; ranks servers for a prompt.
   std::uint64_t mSeed = 0;
   circuit_breaker mBreaker;
-  bool mIsTurning = false;
+  bool mIsUpdating = false;
   /// Tokens that its memory holds; 0 for plain services.
   token_count mMemoryTokens = 0;
   /// Own requests that haven't ended.
--- a/Libraries/LibDispatch/SpentUnits.h
+++ b/Libraries/LibDispatch/WorkspaceUsage.h
@@ -5,14 +5,14 @@
 namespace lycheeseam {
 
 /// What a workspace's requests were charged, in its unit.
-struct spent_units
+struct workspace_usage
 {
   workspace_id mWorkspace;
   double mUnits = 0;
   /// What callers asked for, admitted or not.
-  double mAsked = 0;
+  double mDemand = 0;
 
-  bool operator==(spent_units const&) const = default;
+  bool operator==(workspace_usage const&) const = default;
 };
 
 }
--- a/Libraries/LibFleet/ComposeReport.cpp
+++ b/Libraries/LibFleet/ComposeReport.cpp
@@ -17,7 +17,7 @@
   if (!aLink.mReportedAt)
     return false;
   if (aScope == report_scope::Rest)
-    return aLink.mHello.mLife.mInstance != aTo;
+    return aLink.mHello.mIdentity.mInstance != aTo;
   return aLink.IsChild();
 }
 
@@ -40,7 +40,7 @@
 {
   if (aOther.mLease > aReport.mLease) {
     aReport.mLease = aOther.mLease;
-    aReport.mTurning = aOther.mTurning;
+    aReport.mUpdating = aOther.mUpdating;
   }
   bool const isFirst =
     aReport.mReader.IsEmpty() || aOther.mReader < aReport.mReader;
@@ -61,7 +61,7 @@
   fleet_report report{ .mScope = aScope,
                        .mLease = aOwn.mLease,
                        .mReader = aOwn.mReader,
-                       .mTurning = aOwn.mTurning,
+                       .mUpdating = aOwn.mUpdating,
                        .mOperatorsEnd = aOwn.mOperatorsEnd };
   for (auto const& [id, link] : aBook.Links()) {
     if (link.IsLive(aNow) && SpeaksFor(link, aScope, aTo))
@@ -70,7 +70,7 @@
   auto const target = aBook.Links().find(aTo);
   bool const isRest =
     aScope == report_scope::Rest && target != aBook.Links().end();
-  spent_totals spent = isRest ? aBook.Spending().SpentBesides(target->second)
+  usage_totals spent = isRest ? aBook.Spending().SpentBesides(target->second)
                               : aBook.Spending().SpentByChildren();
   spent.Add(aOwn.mSpent);
   report.mSpent = spent.List();
@@ -93,7 +93,7 @@
 {
   // While an instance changes its parent it stands behind two links, of which
   // the live one tells the truth.
-  std::map<instance_id, roster_entry> live{ { aOwn.mHello.mLife.mInstance,
+  std::map<instance_id, roster_entry> live{ { aOwn.mHello.mIdentity.mInstance,
                                               aOwn } };
   std::map<instance_id, roster_entry> silent;
   for (auto const& [id, link] : aBook.Links()) {
@@ -101,7 +101,7 @@
       continue;
     for (roster_entry const& entry : link.mRoster.mEntries)
       (link.IsLive(aNow) ? live : silent)
-        .try_emplace(entry.mHello.mLife.mInstance, entry);
+        .try_emplace(entry.mHello.mIdentity.mInstance, entry);
   }
   live.merge(silent);
   live.erase(aTo);
--- a/Libraries/LibFleet/FleetControl.h
+++ b/Libraries/LibFleet/FleetControl.h
@@ -12,8 +12,8 @@
 #include <LibFleet/OrderDriver.h>
 #include <LibFleet/StoreWatch.h>
 #include <LibFleet/UsageKeeper.h>
-#include <LibGateway/PeerNews.h>
-#include <LibGateway/QuestionSession.h>
+#include <LibGateway/PeerUpdate.h>
+#include <LibGateway/QuerySession.h>
 #include <LibGateway/SessionListener.h>
 #include <LibGateway/TrafficReport.h>
 
@@ -37,7 +37,7 @@
 {
 public:
   /// Hears what other instances saw; called on the control thread.
-  using news_handler = std::function<void(peer_news)>;
+  using news_handler = std::function<void(peer_update)>;
 
   fleet_control(boost::asio::io_context& aContext,
                 fleet_options aOptions,
@@ -65,10 +65,12 @@
     , mOrders(
         mClient,
         mOptions.mStore,
-        mOptions.mSelf.mLife.mInstance,
+        mOptions.mSelf.mIdentity.mInstance,
         mOptions.mLease,
-        [this](seen_weights const& aSeen) { OnWeights({ aSeen }); },
-        [this](server_life const& aLife) { mRecords.OnAbsent(aLife); })
+        [this](observed_weights const& aSeen) { OnWeights({ aSeen }); },
+        [this](server_identity const& aIdentity) {
+          mRecords.OnAbsent(aIdentity);
+        })
     , mTimer(aContext)
   {
     if (mOptions.mMetrics)
@@ -97,7 +99,7 @@
   /// Takes what the traffic thread saw.
   void OnReport(traffic_report aReport)
   {
-    for (server_life const& gone : aReport.mGone)
+    for (server_identity const& gone : aReport.mGone)
       mRecords.OnAbsent(gone);
     OnWeights(aReport.mWeights);
     mMetrics.Merge(aReport.mMetrics);
@@ -114,11 +116,11 @@
   {
     instant const now = mClock.Now();
     std::set<backend_server_id> const turning = mOrders.Turning();
-    instance_id const& self = mOptions.mSelf.mLife.mInstance;
+    instance_id const& self = mOptions.mSelf.mIdentity.mInstance;
     mLinks.Report({ .mLease = mOrders.Lease(),
                     .mReader = mWatch.IsReading(now) ? self : instance_id{},
                     .mSpent = mSpent,
-                    .mTurning = { turning.begin(), turning.end() },
+                    .mUpdating = { turning.begin(), turning.end() },
                     .mUsed = mUsed,
                     .mOperatorsEnd = mWatch.OperatorsEnd() },
                   IsReady());
@@ -151,7 +153,7 @@
       mUsage.Write(now, mUsed);
     mLinks.Tick(now);
     bool const areServersGone = mRecords.Servers().Expire(now);
-    std::vector<listed_server> const servers = mRecords.Servers().Servers();
+    std::vector<registered_server> const servers = mRecords.Servers().Servers();
     bool const haveTurnsChanged = mOrders.Tick(servers,
                                                mRecords.Operators().Weights(),
                                                mLinks.Book().Rank(now),
@@ -184,16 +186,16 @@
   }
 
   // True when it is news.
-  bool TakeWeightsSeen(std::vector<seen_weights> const& aSeen)
+  bool TakeWeightsSeen(std::vector<observed_weights> const& aSeen)
   {
     bool isNews = false;
-    for (seen_weights const& seen : aSeen)
+    for (observed_weights const& seen : aSeen)
       isNews |= mRecords.Servers().OnWeights(
-        seen.mServer, seen.mLife, seen.mModel, seen.mVersion);
+        seen.mServer, seen.mIncarnation, seen.mModel, seen.mVersion);
     return isNews;
   }
 
-  void OnWeights(std::vector<seen_weights> const& aSeen)
+  void OnWeights(std::vector<observed_weights> const& aSeen)
   {
     if (!TakeWeightsSeen(aSeen))
       return;
@@ -214,15 +216,16 @@
     mView.mConfig = mRecords.Operators().Config();
     mView.mWeights = mRecords.Operators().Weights();
     mView.mServers = mRecords.Servers().Servers();
-    mView.mTurning = mOrders.Turning();
-    mView.mTurning.merge(peers.Turning(now));
+    mView.mUpdating = mOrders.Turning();
+    mView.mUpdating.merge(peers.Turning(now));
     mView.mEntries = peers.Entries();
     if (IsReady())
-      mView.mEntries.push_back({ .mInstance = mOptions.mSelf.mLife.mInstance,
-                                 .mDomain = mOptions.mSelf.mFailureDomain,
-                                 .mAddress = mOptions.mSelf.mCallers });
+      mView.mEntries.push_back(
+        { .mInstance = mOptions.mSelf.mIdentity.mInstance,
+          .mDomain = mOptions.mSelf.mFailureDomain,
+          .mAddress = mOptions.mSelf.mCallers });
     mView.mInstances = peers.Known().Count() + 1;
-    mView.mSilentInstances = peers.Silent(now);
+    mView.mUnresponsiveInstances = peers.Silent(now);
     mView.mReportDelay = mLinks.Delay();
     mView.mSpentElsewhere = peers.Spending().Spent();
     mView.mUsedElsewhere = peers.Used(now);
@@ -236,8 +239,7 @@
   news_handler mNewsHandler;
   system_clock mClock;
   fleet_metrics mMetrics;
-  std::optional<
-    session_listener<question_session<fleet_metrics>, fleet_metrics>>
+  std::optional<session_listener<query_session<fleet_metrics>, fleet_metrics>>
     mMetricsPage;
   http_client mClient;
   fleet_records<Dialect> mRecords;
@@ -247,8 +249,8 @@
   fleet_links<fleet_control> mLinks;
   order_driver<Dialect> mOrders;
   fleet_view mView;
-  std::vector<spent_units> mSpent;
-  std::vector<spent_units> mUsed;
+  std::vector<workspace_usage> mSpent;
+  std::vector<workspace_usage> mUsed;
   boost::asio::steady_timer mTimer;
   bool mIsLeaving = false;
 };
--- a/Libraries/LibFleet/FleetDialect.h
+++ b/Libraries/LibFleet/FleetDialect.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include <LibDispatch/ListedServer.h>
+#include <LibDispatch/RegisteredServer.h>
 #include <LibFleet/EngineReport.h>
 #include <LibFleet/OperatorRecord.h>
 #include <LibFleet/OrderAnswer.h>
@@ -55,7 +55,7 @@
     } -> std::same_as<operator_record>;
   {
     Dialect::ReadServer(aText, aText)
-    } -> std::same_as<listed_server>;
+    } -> std::same_as<registered_server>;
   // Appends a record; with an offset, only where the topic ends there.
   {
     Dialect::AppendRequest(aTopic, aAt)
--- a/Libraries/LibFleet/FleetLinks.h
+++ b/Libraries/LibFleet/FleetLinks.h
@@ -32,7 +32,7 @@
               Control& aControl)
     : mSelf(std::move(aSelf))
     , mControl(aControl)
-    , mBook(mSelf.mLife.mInstance)
+    , mBook(mSelf.mIdentity.mInstance)
     , mExchange(
         mSelf,
         mBook,
@@ -106,13 +106,13 @@
   // For peer_hub only.
   void OnPeerUp(peer_hello const& aHello)
   {
-    LogEvent("peer_up", { { "peer", aHello.mLife.mInstance.Text() } });
+    LogEvent("peer_up", { { "peer", aHello.mIdentity.mInstance.Text() } });
     mBook.OnUp(mClock.Now(), aHello);
     mExchange.OnInstances();
     mControl.ReportToPeers();
   }
 
-  void OnPeerDown(instance_life const& aPeer, link_close_reason aReason)
+  void OnPeerDown(instance_identity const& aPeer, link_close_reason aReason)
   {
     LogEvent("peer_down",
              { { "peer", aPeer.mInstance.Text() },
@@ -122,7 +122,7 @@
     mControl.OnPeersChanged();
   }
 
-  void OnPeerMessage(instance_life const& aPeer, peer_message& aMessage)
+  void OnPeerMessage(instance_identity const& aPeer, peer_message& aMessage)
   {
     fleet_message* const message = std::get_if<fleet_message>(&aMessage);
     if (message == nullptr)
@@ -156,7 +156,7 @@
              .mPingLimit = 3 };
   }
 
-  void OnReport(instance_life const& aPeer, fleet_report const& aReport)
+  void OnReport(instance_identity const& aPeer, fleet_report const& aReport)
   {
     if (!mExchange.IsTaken(aPeer.mInstance, aReport.mScope))
       return;
@@ -169,7 +169,7 @@
     mControl.OnPeerReport(aReport, haveTurnsChanged);
   }
 
-  void OnRoster(instance_life const& aPeer, fleet_roster const& aRoster)
+  void OnRoster(instance_identity const& aPeer, fleet_roster const& aRoster)
   {
     if (!mBook.OnRoster(mClock.Now(), aPeer, aRoster))
       return;
--- a/Libraries/LibFleet/FleetMetrics.cpp
+++ b/Libraries/LibFleet/FleetMetrics.cpp
@@ -42,9 +42,9 @@
         std::chrono::duration<double>{ aNow - mConfigSince }.count());
   set("config_version", static_cast<double>(mConfigVersion));
   set("servers", static_cast<double>(aView.mServers.size()));
-  set("servers_turning", static_cast<double>(aView.mTurning.size()));
+  set("servers_turning", static_cast<double>(aView.mUpdating.size()));
   set("instances", aView.mInstances);
-  set("instances_silent", aView.mSilentInstances);
+  set("instances_silent", aView.mUnresponsiveInstances);
   set("instances_ready", static_cast<double>(aView.mEntries.size()));
   set("order_lease", static_cast<double>(aLease));
 }
--- a/Libraries/LibFleet/FleetRecords.h
+++ b/Libraries/LibFleet/FleetRecords.h
@@ -34,7 +34,7 @@
   }
 
   /// Another server answered at a server's address.
-  void OnAbsent(server_life const& aGone)
+  void OnAbsent(server_identity const& aGone)
   {
     if (mServers.OnAbsent(aGone))
       LogEvent("server_absent",
@@ -68,7 +68,7 @@
   void TakeServer(keyed_record const& aRecord, page_source aSource)
   {
     try {
-      listed_server const server =
+      registered_server const server =
         Dialect::ReadServer(aRecord.mKey, *aRecord.mValue);
       if (mServers.OnEntry(server))
         LogServer(aRecord,
--- a/Libraries/LibFleet/InstanceRegistration.h
+++ b/Libraries/LibFleet/InstanceRegistration.h
@@ -54,7 +54,7 @@
 
   void Register()
   {
-    keyed_record const record{ .mKey = mSelf.mLife.mInstance.Text(),
+    keyed_record const record{ .mKey = mSelf.mIdentity.mInstance.Text(),
                                .mValue = Dialect::FormatInstance(mSelf) };
     mCalls.Append(
       store_topic::Instances,
--- a/Libraries/LibFleet/KnownInstances.cpp
+++ b/Libraries/LibFleet/KnownInstances.cpp
@@ -20,10 +20,10 @@
 void
 known_instances::OnRegistered(instant aNow, peer_hello const& aHello)
 {
-  auto const known = mKnown.find(aHello.mLife.mInstance);
+  auto const known = mKnown.find(aHello.mIdentity.mInstance);
   bool const isNews =
     known == mKnown.end() ||
-    known->second.mHello.mLife.mIncarnation < aHello.mLife.mIncarnation;
+    known->second.mHello.mIdentity.mIncarnation < aHello.mIdentity.mIncarnation;
   if (isNews)
     OnHeard(aNow, aHello);
 }
@@ -31,8 +31,8 @@
 void
 known_instances::OnHeard(instant aNow, peer_hello const& aHello)
 {
-  if (aHello.mLife.mInstance != mSelf)
-    mKnown[aHello.mLife.mInstance] = { .mHello = aHello, .mSeenAt = aNow };
+  if (aHello.mIdentity.mInstance != mSelf)
+    mKnown[aHello.mIdentity.mInstance] = { .mHello = aHello, .mSeenAt = aNow };
 }
 
 void
--- a/Libraries/LibFleet/OperatorState.cpp
+++ b/Libraries/LibFleet/OperatorState.cpp
@@ -24,14 +24,14 @@
 bool
 operator_state::Take(instant aNow, loaded_model const& aNamed)
 {
-  auto const isModel = [&aNamed](named_weights const& aKnown) {
+  auto const isModel = [&aNamed](target_weights const& aKnown) {
     return aKnown.mModel == aNamed.mModel;
   };
   auto const found = std::find_if(mWeights.begin(), mWeights.end(), isModel);
-  named_weights& known =
+  target_weights& known =
     found != mWeights.end()
       ? *found
-      : mWeights.emplace_back(named_weights{ .mModel = aNamed.mModel });
+      : mWeights.emplace_back(target_weights{ .mModel = aNamed.mModel });
   if (aNamed.mVersion <= known.Newest())
     return false;
   known.mVersions.push_back(
--- a/Libraries/LibFleet/OperatorState.h
+++ b/Libraries/LibFleet/OperatorState.h
@@ -2,7 +2,7 @@
 
 #include <LibDispatch/DispatchConfig.h>
 #include <LibDispatch/LoadedModel.h>
-#include <LibDispatch/NamedWeights.h>
+#include <LibDispatch/TargetWeights.h>
 
 #include <memory>
 #include <vector>
@@ -27,14 +27,14 @@
     return mConfig;
   }
 
-  [[nodiscard]] std::vector<named_weights> const& Weights() const noexcept
+  [[nodiscard]] std::vector<target_weights> const& Weights() const noexcept
   {
     return mWeights;
   }
 
 private:
   std::shared_ptr<dispatch_config const> mConfig;
-  std::vector<named_weights> mWeights;
+  std::vector<target_weights> mWeights;
 };
 
 }
--- a/Libraries/LibFleet/OrderDriver.h
+++ b/Libraries/LibFleet/OrderDriver.h
@@ -1,10 +1,10 @@
 #pragma once
 
 #include <LibCore/InvalidInput.h>
-#include <LibCore/ServerLife.h>
+#include <LibCore/ServerIdentity.h>
 #include <LibCore/SystemClock.h>
 #include <LibDispatch/FindServer.h>
-#include <LibDispatch/SeenWeights.h>
+#include <LibDispatch/ObservedWeights.h>
 #include <LibEvents/EventLog.h>
 #include <LibFleet/EngineReport.h>
 #include <LibFleet/OrderLease.h>
@@ -26,8 +26,8 @@
 class order_driver
 {
 public:
-  using weights_handler = std::function<void(seen_weights)>;
-  using gone_handler = std::function<void(server_life)>;
+  using weights_handler = std::function<void(observed_weights)>;
+  using gone_handler = std::function<void(server_identity)>;
 
   order_driver(http_client& aClient,
                endpoint aStore,
@@ -48,8 +48,8 @@
   /// Does what is due. aRank is this instance's place among those that could
   /// hold the lease, 0 for the first; aPeerLease the newest lease of a live
   /// peer. True when the set of turning servers changed.
-  bool Tick(std::span<listed_server const> aServers,
-            std::span<named_weights const> aWeights,
+  bool Tick(std::span<registered_server const> aServers,
+            std::span<target_weights const> aWeights,
             std::uint32_t aRank,
             std::uint64_t aPeerLease)
   {
@@ -91,18 +91,18 @@
   static constexpr std::chrono::milliseconds kStartPause{ 900 };
   static constexpr std::chrono::milliseconds kEngineTimeout{ 800 };
 
-  void Drive(instant aNow, std::span<listed_server const> aServers)
+  void Drive(instant aNow, std::span<registered_server const> aServers)
   {
     if (mLease.IsRenewalDue(aNow))
       Acquire();
     for (backend_server_id const& id : mPlan.DueOrders(aNow)) {
       std::optional<std::uint64_t> const fence = mLease.MayOrder(aNow);
-      listed_server const* const server = FindServer(aServers, id);
+      registered_server const* const server = FindServer(aServers, id);
       if (fence && server != nullptr)
         Order(aNow, *server, *fence);
     }
     for (backend_server_id const& id : mPlan.DueQuestions(aNow)) {
-      if (listed_server const* const server = FindServer(aServers, id))
+      if (registered_server const* const server = FindServer(aServers, id))
         Ask(aNow, *server);
     }
   }
@@ -159,7 +159,9 @@
     mVacantSince = mClock.Now();
   }
 
-  void Order(instant aNow, listed_server const& aServer, std::uint64_t aFence)
+  void Order(instant aNow,
+             registered_server const& aServer,
+             std::uint64_t aFence)
   {
     loaded_model const target = mPlan.TargetOf(aServer.mId);
     weights_order const order{ .mServer = aServer.mId,
@@ -176,7 +178,7 @@
         .mHead = Dialect::OrderRequest(order),
         .mBody = Dialect::FormatOrder(order),
         .mTimeout = kEngineTimeout },
-      [this, id = aServer.mId, life = aServer.mLife](
+      [this, id = aServer.mId, current = aServer.mIncarnation](
         http_exchange_result const& aResult) {
         order_answer const answer = Dialect::ReadOrderAnswer(aResult);
         LogEvent("order_answered",
@@ -186,20 +188,20 @@
                    { "fault", aResult.mFault } });
         mPlan.OnAnswer(mClock.Now(), id, answer);
         if (answer == order_answer::Misdirected)
-          mGoneHandler({ .mServer = id, .mIncarnation = life });
+          mGoneHandler({ .mServer = id, .mIncarnation = current });
         if (answer == order_answer::Fenced)
           mLease.OnUncertain();
       });
   }
 
-  void Ask(instant aNow, listed_server const& aServer)
+  void Ask(instant aNow, registered_server const& aServer)
   {
     mPlan.OnAsked(aNow, aServer.mId);
     mClient.Call({ .mPurpose = "engine_report",
                    .mTo = aServer.mAddress,
                    .mHead = Dialect::ReportRequest(aServer.mId),
                    .mTimeout = kEngineTimeout },
-                 [this, id = aServer.mId, life = aServer.mLife](
+                 [this, id = aServer.mId, current = aServer.mIncarnation](
                    http_exchange_result const& aResult) {
                    if (aResult.mHead.mStatus != kHttpOk)
                      return;
@@ -209,7 +211,7 @@
                      mPlan.OnReport(mClock.Now(), id, report);
                      for (loaded_model const& model : report.mModels)
                        mHandler({ .mServer = id,
-                                  .mLife = life,
+                                  .mIncarnation = current,
                                   .mModel = model.mModel,
                                   .mVersion = model.mVersion });
                    } catch (invalid_input const& fault) {
--- a/Libraries/LibFleet/PeerBook.cpp
+++ b/Libraries/LibFleet/PeerBook.cpp
@@ -17,25 +17,25 @@
 void
 peer_book::OnUp(instant aNow, peer_hello const& aHello)
 {
-  if (aHello.mLife.mInstance == mSelf)
+  if (aHello.mIdentity.mInstance == mSelf)
     return;
   mKnown.OnHeard(aNow, aHello);
-  mLinks[aHello.mLife.mInstance] = peer_link{
+  mLinks[aHello.mIdentity.mInstance] = peer_link{
     .mHello = aHello, .mUpAt = aNow, .mRoster = { { { .mHello = aHello } } }
   };
 }
 
 peer_link*
-peer_book::FindLink(instance_life const& aPeer)
+peer_book::FindLink(instance_identity const& aPeer)
 {
   auto const found = mLinks.find(aPeer.mInstance);
-  bool const isOfLife =
-    found != mLinks.end() && found->second.mHello.mLife == aPeer;
-  return isOfLife ? &found->second : nullptr;
+  bool const isSameIdentity =
+    found != mLinks.end() && found->second.mHello.mIdentity == aPeer;
+  return isSameIdentity ? &found->second : nullptr;
 }
 
 void
-peer_book::OnDown(instant aNow, instance_life const& aPeer)
+peer_book::OnDown(instant aNow, instance_identity const& aPeer)
 {
   peer_link* const found = FindLink(aPeer);
   if (found == nullptr)
@@ -44,7 +44,7 @@
   if (lost.mReportedAt && lost.mReport.mScope == report_scope::Rest) {
     mLostRoster = std::move(lost.mRoster);
     std::erase_if(mLostRoster.mEntries, [&aPeer](auto const& aEntry) {
-      return aEntry.mHello.mLife.mInstance == aPeer.mInstance;
+      return aEntry.mHello.mIdentity.mInstance == aPeer.mInstance;
     });
     mLostUntil = aNow + kLostRosterUse;
   }
@@ -60,14 +60,14 @@
     std::vector<roster_entry> const& entries = aLink.second.mRoster.mEntries;
     return std::any_of(
       entries.begin(), entries.end(), [&](roster_entry const& aEntry) {
-        return aEntry.mHello.mLife.mInstance == aInstance;
+        return aEntry.mHello.mIdentity.mInstance == aInstance;
       });
   });
 }
 
 bool
 peer_book::OnReport(instant aNow,
-                    instance_life const& aPeer,
+                    instance_identity const& aPeer,
                     fleet_report const& aReport)
 {
   peer_link* const found = FindLink(aPeer);
@@ -76,7 +76,7 @@
   peer_link& link = *found;
   mTally.OnReport(aNow, link, aReport);
   bool const isNews = link.mReport.mLease != aReport.mLease ||
-                      link.mReport.mTurning != aReport.mTurning;
+                      link.mReport.mUpdating != aReport.mUpdating;
   link.mReport = aReport;
   link.mReportedAt = aNow;
   return isNews;
@@ -84,7 +84,7 @@
 
 bool
 peer_book::OnRoster(instant aNow,
-                    instance_life const& aPeer,
+                    instance_identity const& aPeer,
                     fleet_roster const& aRoster)
 {
   peer_link* const found = FindLink(aPeer);
@@ -103,7 +103,7 @@
 peer_book::NoteVanished(instant aNow, fleet_roster const& aBefore)
 {
   for (roster_entry const& entry : aBefore.mEntries) {
-    instance_id const& id = entry.mHello.mLife.mInstance;
+    instance_id const& id = entry.mHello.mIdentity.mInstance;
     if (!IsInRosters(id))
       mKnown.OnAway(aNow, id);
   }
@@ -116,7 +116,7 @@
     mLostRoster = {};
   for (auto const& [id, link] : mLinks) {
     for (roster_entry const& entry : link.mRoster.mEntries)
-      mKnown.OnStillHeard(aNow, entry.mHello.mLife.mInstance);
+      mKnown.OnStillHeard(aNow, entry.mHello.mIdentity.mInstance);
   }
   mKnown.Prune(aNow);
 }
@@ -127,7 +127,7 @@
   std::map<instance_id, caller_entry> entries;
   auto const add = [&](fleet_roster const& aRoster) {
     for (roster_entry const& entry : aRoster.mEntries) {
-      instance_id const& id = entry.mHello.mLife.mInstance;
+      instance_id const& id = entry.mHello.mIdentity.mInstance;
       if (entry.mIsReady && !entry.mIsLeaving && id != mSelf)
         entries[id] = { .mInstance = id,
                         .mDomain = entry.mHello.mFailureDomain,
@@ -163,11 +163,11 @@
 {
   std::set<instance_id> heard;
   for (roster_entry const* const entry : LiveEntries(aNow))
-    heard.insert(entry->mHello.mLife.mInstance);
+    heard.insert(entry->mHello.mIdentity.mInstance);
   return mKnown.CountBesides(heard);
 }
 
-std::vector<spent_units>
+std::vector<workspace_usage>
 peer_book::Used(instant aNow) const
 {
   for (auto const& [id, link] : mLinks) {
@@ -182,7 +182,7 @@
 {
   std::uint64_t const newest = NewestLease(aNow);
   for (auto const& [id, link] : mLinks) {
-    std::vector<backend_server_id> const& turning = link.mReport.mTurning;
+    std::vector<backend_server_id> const& turning = link.mReport.mUpdating;
     if (newest != 0 && link.IsLive(aNow) && link.mReport.mLease == newest)
       return { turning.begin(), turning.end() };
   }
@@ -216,8 +216,8 @@
 {
   std::set<instance_id> before;
   for (roster_entry const* const entry : LiveEntries(aNow)) {
-    if (!entry->mIsLeaving && entry->mHello.mLife.mInstance < mSelf)
-      before.insert(entry->mHello.mLife.mInstance);
+    if (!entry->mIsLeaving && entry->mHello.mIdentity.mInstance < mSelf)
+      before.insert(entry->mHello.mIdentity.mInstance);
   }
   return static_cast<std::uint32_t>(before.size());
 }
--- a/Libraries/LibFleet/PeerBook.h
+++ b/Libraries/LibFleet/PeerBook.h
@@ -2,7 +2,7 @@
 
 #include <LibCore/Instant.h>
 #include <LibDispatch/CallerEntry.h>
-#include <LibDispatch/SpentUnits.h>
+#include <LibDispatch/WorkspaceUsage.h>
 #include <LibFleet/KnownInstances.h>
 #include <LibFleet/PeerLink.h>
 #include <LibFleet/SpendingTally.h>
@@ -35,16 +35,16 @@
   }
 
   void OnUp(instant aNow, peer_hello const& aHello);
-  void OnDown(instant aNow, instance_life const& aPeer);
+  void OnDown(instant aNow, instance_identity const& aPeer);
 
   /// Takes a report; true when it changes which servers turn.
   bool OnReport(instant aNow,
-                instance_life const& aPeer,
+                instance_identity const& aPeer,
                 fleet_report const& aReport);
 
   /// Takes who lives behind a link; true when it is news.
   bool OnRoster(instant aNow,
-                instance_life const& aPeer,
+                instance_identity const& aPeer,
                 fleet_roster const& aRoster);
 
   /// A parent can't be reached or says nothing; it counts as away until
@@ -76,7 +76,7 @@
 
   /// What all instances admitted in the last quota window, as told by a peer
   /// that has counted for so long; empty without one.
-  [[nodiscard]] std::vector<spent_units> Used(instant aNow) const;
+  [[nodiscard]] std::vector<workspace_usage> Used(instant aNow) const;
 
   /// The servers that the holder of the newest lease turns.
   [[nodiscard]] std::set<backend_server_id> Turning(instant aNow) const;
@@ -98,7 +98,7 @@
   [[nodiscard]] std::vector<roster_entry const*> LiveEntries(
     instant aNow) const;
   // The link to that life of a peer, or null.
-  [[nodiscard]] peer_link* FindLink(instance_life const& aPeer);
+  [[nodiscard]] peer_link* FindLink(instance_identity const& aPeer);
   // True when a peer with a link speaks for the instance.
   [[nodiscard]] bool IsInRosters(instance_id const& aInstance) const;
   // Instances that no peer speaks for any more can't be reached.
--- a/Libraries/LibFleet/PeerLink.h
+++ b/Libraries/LibFleet/PeerLink.h
@@ -2,7 +2,7 @@
 
 #include <LibCore/Identifiers.h>
 #include <LibCore/Instant.h>
-#include <LibDispatch/SpentTotals.h>
+#include <LibDispatch/UsageTotals.h>
 #include <LibPeer/FleetReport.h>
 #include <LibPeer/FleetRoster.h>
 #include <LibPeer/PeerHello.h>
@@ -25,9 +25,9 @@
   fleet_report mReport;
   fleet_roster mRoster;
   /// What each workspace was admitted by the last report.
-  std::map<workspace_id, spent_units> mTold;
+  std::map<workspace_id, workspace_usage> mTold;
   /// What this instance counted of it.
-  spent_totals mCounted;
+  usage_totals mCounted;
 
   [[nodiscard]] bool IsLive(instant aNow) const
   {
--- a/Libraries/LibFleet/QuotaUsage.h
+++ b/Libraries/LibFleet/QuotaUsage.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include <LibDispatch/SpentUnits.h>
+#include <LibDispatch/WorkspaceUsage.h>
 
 #include <chrono>
 #include <vector>
@@ -13,7 +13,7 @@
 {
   /// The time of day at the window's end, by the clock of who wrote it.
   std::chrono::milliseconds mWrittenAt{};
-  std::vector<spent_units> mUsed;
+  std::vector<workspace_usage> mUsed;
 };
 
 }
--- a/Libraries/LibFleet/ReportExchange.cpp
+++ b/Libraries/LibFleet/ReportExchange.cpp
@@ -54,7 +54,7 @@
   if (!mLayout.mParent) {
     for (peer_hello const& away : mBook.Known().Away())
       contacts.push_back(
-        { .mAddress = away.mPeers, .mInstance = away.mLife.mInstance });
+        { .mAddress = away.mPeers, .mInstance = away.mIdentity.mInstance });
   }
   mContactsHandler(contacts);
 }
@@ -94,7 +94,7 @@
 std::optional<report_scope>
 report_exchange::ScopeTo(instant aNow, peer_link const& aLink) const
 {
-  if (mLayout.mParent == aLink.mHello.mLife.mInstance)
+  if (mLayout.mParent == aLink.mHello.mIdentity.mInstance)
     return report_scope::Branch;
   if (aLink.IsChild())
     return aLink.IsLive(aNow) ? std::optional{ report_scope::Rest }
--- a/Libraries/LibFleet/ReportLayout.cpp
+++ b/Libraries/LibFleet/ReportLayout.cpp
@@ -33,11 +33,11 @@
 {
   if (aFirst.mCapacity != aSecond.mCapacity)
     return aFirst.mCapacity > aSecond.mCapacity;
-  std::uint64_t const first = Hash(aFirst.mLife.mInstance);
-  std::uint64_t const second = Hash(aSecond.mLife.mInstance);
+  std::uint64_t const first = Hash(aFirst.mIdentity.mInstance);
+  std::uint64_t const second = Hash(aSecond.mIdentity.mInstance);
   if (first != second)
     return first < second;
-  return aFirst.mLife.mInstance < aSecond.mLife.mInstance;
+  return aFirst.mIdentity.mInstance < aSecond.mIdentity.mInstance;
 }
 
 // The roots of one failure domain, which this reorders.
@@ -57,7 +57,7 @@
 peer_contact
 Contact(peer_hello const& aPeer)
 {
-  return { .mAddress = aPeer.mPeers, .mInstance = aPeer.mLife.mInstance };
+  return { .mAddress = aPeer.mPeers, .mInstance = aPeer.mIdentity.mInstance };
 }
 
 // Rendezvous hashing: a root that is lost spreads its children over the
@@ -65,20 +65,20 @@
 peer_hello const&
 ChooseParent(peer_hello const& aSelf, std::span<peer_hello const* const> aRoots)
 {
-  std::uint64_t const seed = Hash(aSelf.mLife.mInstance);
+  std::uint64_t const seed = Hash(aSelf.mIdentity.mInstance);
   return **std::max_element(
     aRoots.begin(),
     aRoots.end(),
     [seed](peer_hello const* aFirst, peer_hello const* aSecond) {
-      return Hash(aFirst->mLife.mInstance, seed) <
-             Hash(aSecond->mLife.mInstance, seed);
+      return Hash(aFirst->mIdentity.mInstance, seed) <
+             Hash(aSecond->mIdentity.mInstance, seed);
     });
 }
 
 report_layout
 Child(peer_hello const& aParent)
 {
-  return { .mParent = aParent.mLife.mInstance,
+  return { .mParent = aParent.mIdentity.mInstance,
            .mContacts = { Contact(aParent) } };
 }
 
@@ -89,7 +89,8 @@
 {
   auto const found =
     std::find_if(aOthers.begin(), aOthers.end(), [&](peer_hello const& aOther) {
-      return aOther.mLife.mInstance == aParent && ComesBefore(aOther, aSelf);
+      return aOther.mIdentity.mInstance == aParent &&
+             ComesBefore(aOther, aSelf);
     });
   return found == aOthers.end() ? nullptr : &*found;
 }
--- a/Libraries/LibFleet/ReportNews.h
+++ b/Libraries/LibFleet/ReportNews.h
@@ -13,7 +13,7 @@
   /// It came from a child, or is this instance's own.
   bool mIsOfBranch = true;
   std::vector<crash_count> mCrashes;
-  std::vector<seen_weights> mWeights;
+  std::vector<observed_weights> mWeights;
   std::vector<prefix_holder> mHolders;
 
   [[nodiscard]] bool IsEmpty() const
--- a/Libraries/LibFleet/ServerRegister.cpp
+++ b/Libraries/LibFleet/ServerRegister.cpp
@@ -15,15 +15,15 @@
 }
 
 bool
-server_register::OnEntry(listed_server aServer)
+server_register::OnEntry(registered_server aServer)
 {
   entry& known = mEntries[aServer.mId];
   // A late word of an earlier life says nothing of this one.
-  if (aServer.mLife < known.mServer.mLife)
+  if (aServer.mIncarnation < known.mServer.mIncarnation)
     return false;
-  if (aServer.mLife == known.mServer.mLife)
+  if (aServer.mIncarnation == known.mServer.mIncarnation)
     aServer.KeepNewerVersions(known.mServer);
-  bool const isNews = aServer.mLife != known.mServer.mLife ||
+  bool const isNews = aServer.mIncarnation != known.mServer.mIncarnation ||
                       aServer.mStage != known.mServer.mStage;
   known.mServer = std::move(aServer);
   known.mGoneAt.reset();
@@ -47,11 +47,11 @@
 }
 
 bool
-server_register::OnAbsent(server_life const& aGone)
+server_register::OnAbsent(server_identity const& aGone)
 {
   auto const found = mEntries.find(aGone.mServer);
   if (found == mEntries.end() ||
-      found->second.mServer.mLife != aGone.mIncarnation)
+      found->second.mServer.mIncarnation != aGone.mIncarnation)
     return false;
   mEntries.erase(found);
   return true;
@@ -72,12 +72,13 @@
 
 bool
 server_register::OnWeights(backend_server_id const& aServer,
-                           incarnation aLife,
+                           incarnation aIncarnation,
                            model_name const& aModel,
                            std::uint64_t aVersion)
 {
   auto const found = mEntries.find(aServer);
-  return found != mEntries.end() && found->second.mServer.mLife == aLife &&
+  return found != mEntries.end() &&
+         found->second.mServer.mIncarnation == aIncarnation &&
          found->second.mServer.RaiseVersion(aModel, aVersion);
 }
 
@@ -89,10 +90,10 @@
          }) > 0;
 }
 
-std::vector<listed_server>
+std::vector<registered_server>
 server_register::Servers() const
 {
-  std::vector<listed_server> servers;
+  std::vector<registered_server> servers;
   servers.reserve(mEntries.size());
   for (auto const& [id, known] : mEntries)
     servers.push_back(known.mServer);
--- a/Libraries/LibFleet/ServerRegister.h
+++ b/Libraries/LibFleet/ServerRegister.h
@@ -1,8 +1,8 @@
 #pragma once
 
 #include <LibCore/Instant.h>
-#include <LibCore/ServerLife.h>
-#include <LibDispatch/ListedServer.h>
+#include <LibCore/ServerIdentity.h>
+#include <LibDispatch/RegisteredServer.h>
 
 #include <map>
 #include <optional>
@@ -18,14 +18,14 @@
 {
 public:
   /// A server wrote its entry; true when it is new, or says that it leaves.
-  bool OnEntry(listed_server aServer);
+  bool OnEntry(registered_server aServer);
 
   /// A server's entry was dropped.
   void OnDropped(instant aNow, backend_server_id const& aServer);
 
   /// Another server answered at its address. True when it was registered; its
   /// next entry brings it back.
-  bool OnAbsent(server_life const& aGone);
+  bool OnAbsent(server_identity const& aGone);
 
   /// The store failed to answer.
   void OnStoreFailure();
@@ -35,19 +35,19 @@
 
   /// An engine showed its weights; true when they are newer than was known.
   bool OnWeights(backend_server_id const& aServer,
-                 incarnation aLife,
+                 incarnation aIncarnation,
                  model_name const& aModel,
                  std::uint64_t aVersion);
 
   /// Drops servers whose time to come back is over; true when any was.
   bool Expire(instant aNow);
 
-  [[nodiscard]] std::vector<listed_server> Servers() const;
+  [[nodiscard]] std::vector<registered_server> Servers() const;
 
 private:
   struct entry
   {
-    listed_server mServer;
+    registered_server mServer;
     /// When a lapsed entry counts as gone.
     std::optional<instant> mGoneAt;
   };
--- a/Libraries/LibFleet/SpendingTally.cpp
+++ b/Libraries/LibFleet/SpendingTally.cpp
@@ -13,13 +13,13 @@
   // window that it is told of, or long ago.
   bool const isCounted =
     aLink.IsLive(aNow) && aLink.mReport.mScope == aReport.mScope;
-  for (spent_units const& spent : aReport.mSpent) {
-    spent_units& before = aLink.mTold[spent.mWorkspace];
-    spent_units const added{ .mWorkspace = spent.mWorkspace,
-                             .mUnits =
-                               std::max(0.0, spent.mUnits - before.mUnits),
-                             .mAsked =
-                               std::max(0.0, spent.mAsked - before.mAsked) };
+  for (workspace_usage const& spent : aReport.mSpent) {
+    workspace_usage& before = aLink.mTold[spent.mWorkspace];
+    workspace_usage const added{
+      .mWorkspace = spent.mWorkspace,
+      .mUnits = std::max(0.0, spent.mUnits - before.mUnits),
+      .mDemand = std::max(0.0, spent.mDemand - before.mDemand)
+    };
     before = spent;
     if (!isCounted)
       continue;
@@ -30,10 +30,10 @@
   }
 }
 
-spent_totals
+usage_totals
 spending_tally::SpentBesides(peer_link const& aLink) const
 {
-  spent_totals spent = mSpent;
+  usage_totals spent = mSpent;
   spent.Subtract(aLink.mCounted);
   return spent;
 }
--- a/Libraries/LibFleet/SpendingTally.h
+++ b/Libraries/LibFleet/SpendingTally.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include <LibDispatch/SpentTotals.h>
+#include <LibDispatch/UsageTotals.h>
 #include <LibFleet/PeerLink.h>
 
 #include <vector>
@@ -16,20 +16,23 @@
   void OnReport(instant aNow, peer_link& aLink, fleet_report const& aReport);
 
   /// All that was counted.
-  [[nodiscard]] std::vector<spent_units> Spent() const { return mSpent.List(); }
+  [[nodiscard]] std::vector<workspace_usage> Spent() const
+  {
+    return mSpent.List();
+  }
 
   /// The part of it that came from children.
-  [[nodiscard]] spent_totals const& SpentByChildren() const noexcept
+  [[nodiscard]] usage_totals const& SpentByChildren() const noexcept
   {
     return mSpentByChildren;
   }
 
   /// The part of it that didn't come over this link.
-  [[nodiscard]] spent_totals SpentBesides(peer_link const& aLink) const;
+  [[nodiscard]] usage_totals SpentBesides(peer_link const& aLink) const;
 
 private:
-  spent_totals mSpent;
-  spent_totals mSpentByChildren;
+  usage_totals mSpent;
+  usage_totals mSpentByChildren;
 };
 
 }
--- a/Libraries/LibFleet/TurnoverPlan.cpp
+++ b/Libraries/LibFleet/TurnoverPlan.cpp
@@ -7,29 +7,30 @@
 namespace lycheeseam {
 
 void
-turnover_plan::DropDone(std::span<listed_server const> aServers)
+turnover_plan::DropDone(std::span<registered_server const> aServers)
 {
   std::erase_if(mTurns, [aServers](auto const& aEntry) {
-    listed_server const* const server = FindServer(aServers, aEntry.first);
-    return server == nullptr || server->mLife != aEntry.second.mLife ||
+    registered_server const* const server = FindServer(aServers, aEntry.first);
+    return server == nullptr ||
+           server->mIncarnation != aEntry.second.mIncarnation ||
            server->mStage != server_stage::Ready ||
            server->VersionOf(aEntry.second.mModel) >= aEntry.second.mTarget;
   });
 }
 
 turnover_plan::pool_census
-turnover_plan::Count(std::span<listed_server const> aServers,
-                     named_weights const& aNamed) const
+turnover_plan::Count(std::span<registered_server const> aServers,
+                     target_weights const& aNamed) const
 {
   pool_census pools;
-  for (listed_server const& server : aServers) {
+  for (registered_server const& server : aServers) {
     std::uint64_t const version = server.VersionOf(aNamed.mModel);
     if (version == 0 || server.mStage != server_stage::Ready)
       continue;
     census& pool = pools[server.mPool];
     ++pool.mSize;
     if (mTurns.contains(server.mId))
-      ++pool.mTurning;
+      ++pool.mUpdating;
     else if (version >= aNamed.Newest())
       ++pool.mTurned;
     else
@@ -51,13 +52,13 @@
 
 void
 turnover_plan::Update(instant aNow,
-                      std::span<listed_server const> aServers,
-                      std::span<named_weights const> aWeights)
+                      std::span<registered_server const> aServers,
+                      std::span<target_weights const> aWeights)
 {
   DropDone(aServers);
-  for (named_weights const& named : aWeights) {
-    auto const isOlder = [&named](listed_server const* aLeft,
-                                  listed_server const* aRight) {
+  for (target_weights const& named : aWeights) {
+    auto const isOlder = [&named](registered_server const* aLeft,
+                                  registered_server const* aRight) {
       return aLeft->VersionOf(named.mModel) < aRight->VersionOf(named.mModel);
     };
     pool_census pools = Count(aServers, named);
@@ -65,9 +66,9 @@
       census& pool = entry.second;
       std::stable_sort(pool.mBehind.begin(), pool.mBehind.end(), isOlder);
       std::size_t const most = MostTurning(pool);
-      std::size_t const room = most - std::min(most, pool.mTurning);
+      std::size_t const room = most - std::min(most, pool.mUpdating);
       pool.mBehind.resize(std::min(room, pool.mBehind.size()));
-      for (listed_server const* const server : pool.mBehind)
+      for (registered_server const* const server : pool.mBehind)
         Begin(aNow, *server, named);
     }
   }
@@ -75,10 +76,10 @@
 
 void
 turnover_plan::Begin(instant aNow,
-                     listed_server const& aServer,
-                     named_weights const& aNamed)
+                     registered_server const& aServer,
+                     target_weights const& aNamed)
 {
-  mTurns[aServer.mId] = { .mLife = aServer.mLife,
+  mTurns[aServer.mId] = { .mIncarnation = aServer.mIncarnation,
                           .mModel = aNamed.mModel,
                           .mTarget = aNamed.Newest(),
                           .mOrderAt = aNow + mTiming.mNotice,
--- a/Libraries/LibFleet/TurnoverPlan.h
+++ b/Libraries/LibFleet/TurnoverPlan.h
@@ -1,7 +1,7 @@
 #pragma once
 
-#include <LibDispatch/ListedServer.h>
-#include <LibDispatch/NamedWeights.h>
+#include <LibDispatch/RegisteredServer.h>
+#include <LibDispatch/TargetWeights.h>
 #include <LibFleet/EngineReport.h>
 #include <LibFleet/OrderAnswer.h>
 #include <LibFleet/TurnoverTiming.h>
@@ -30,8 +30,8 @@
 
   /// Looks at all servers; picks those to turn next.
   void Update(instant aNow,
-              std::span<listed_server const> aServers,
-              std::span<named_weights const> aWeights);
+              std::span<registered_server const> aServers,
+              std::span<target_weights const> aWeights);
 
   /// Servers that get no new work.
   [[nodiscard]] std::set<backend_server_id> Turning() const;
@@ -65,7 +65,7 @@
 private:
   struct turn
   {
-    incarnation mLife;
+    incarnation mIncarnation;
     model_name mModel;
     std::uint64_t mTarget = 0;
     /// When the order is due.
@@ -83,21 +83,21 @@
   {
     std::size_t mSize = 0;
     std::size_t mTurned = 0;
-    std::size_t mTurning = 0;
-    std::vector<listed_server const*> mBehind;
+    std::size_t mUpdating = 0;
+    std::vector<registered_server const*> mBehind;
   };
   using pool_census = std::map<pool_name, census>;
 
-  [[nodiscard]] pool_census Count(std::span<listed_server const> aServers,
-                                  named_weights const& aNamed) const;
+  [[nodiscard]] pool_census Count(std::span<registered_server const> aServers,
+                                  target_weights const& aNamed) const;
 
   /// How many servers of a pool may turn at a time.
   [[nodiscard]] std::size_t MostTurning(census const& aPool) const;
 
-  void DropDone(std::span<listed_server const> aServers);
+  void DropDone(std::span<registered_server const> aServers);
   void Begin(instant aNow,
-             listed_server const& aServer,
-             named_weights const& aNamed);
+             registered_server const& aServer,
+             target_weights const& aNamed);
 
   turnover_timing mTiming;
   std::map<backend_server_id, turn> mTurns;
--- a/Libraries/LibFleet/UsageKeeper.h
+++ b/Libraries/LibFleet/UsageKeeper.h
@@ -38,7 +38,7 @@
   }
 
   /// Writes when it is due.
-  void Write(instant aNow, std::vector<spent_units> const& aUsed)
+  void Write(instant aNow, std::vector<workspace_usage> const& aUsed)
   {
     if (aNow < mDue || aUsed.empty())
       return;
@@ -53,11 +53,11 @@
 
   /// What the store told, and what may have been admitted since it was
   /// written; empty when it told nothing.
-  [[nodiscard]] std::vector<spent_units> Stored(
+  [[nodiscard]] std::vector<workspace_usage> Stored(
     dispatch_config const& aConfig) const
   {
-    std::vector<spent_units> used = mStored;
-    for (spent_units& units : used) {
+    std::vector<workspace_usage> used = mStored;
+    for (workspace_usage& units : used) {
       for (dispatch_workspace const& row : aConfig.Workspaces()) {
         if (row.mName == units.mWorkspace)
           units.mUnits += kMarginSeconds * row.mRate;
@@ -94,7 +94,7 @@
   }
 
   store_calls<Dialect> mCalls;
-  std::vector<spent_units> mStored;
+  std::vector<workspace_usage> mStored;
   instant mDue{};
 };
 
--- a/Libraries/LibFront/CallSink.h
+++ b/Libraries/LibFront/CallSink.h
@@ -23,7 +23,7 @@
                              caller_pace aPace)
 {
   aSink.OnCall(std::move(aRequest));
-  aSink.OnCallerGone(aCall);
+  aSink.OnCallerDisconnected(aCall);
   aSink.OnPace(aCall, aPace);
   {
     aSink.ModelsBody()
--- a/Libraries/LibFront/FrontWorker.h
+++ b/Libraries/LibFront/FrontWorker.h
@@ -242,7 +242,7 @@
   void Forget(call_number aCall)
   {
     if (mCalls.erase(aCall) != 0)
-      mSink.OnCallerGone(aCall);
+      mSink.OnCallerDisconnected(aCall);
   }
 
   Sink& mSink;
--- a/Libraries/LibGateway/AdmitRequest.cpp
+++ b/Libraries/LibGateway/AdmitRequest.cpp
@@ -13,16 +13,16 @@
 constexpr std::chrono::milliseconds kPoisonWait{ 2'000 };
 
 std::optional<request_refusal>
-FindRows(request_facts const& aFacts, admitted_request& aAdmitted)
+FindRows(request_properties const& aProperties, admitted_request& aAdmitted)
 {
   dispatch_config const& config = *aAdmitted.mConfig;
-  aAdmitted.mRoute = config.FindRoute(aFacts.mHost, aFacts.mPath);
+  aAdmitted.mRoute = config.FindRoute(aProperties.mHost, aProperties.mPath);
   if (aAdmitted.mRoute == nullptr)
     return request_refusal{ .mStatus = refusal_status::NotFound };
   if (aAdmitted.mRoute->mIsPublic || config.Workspaces().empty())
     return std::nullopt;
-  if (aFacts.mKey)
-    aAdmitted.mWorkspace = config.FindWorkspace(*aFacts.mKey);
+  if (aProperties.mKey)
+    aAdmitted.mWorkspace = config.FindWorkspace(*aProperties.mKey);
   if (aAdmitted.mWorkspace == nullptr)
     return request_refusal{ .mStatus = refusal_status::Unauthorized };
   return std::nullopt;
@@ -31,18 +31,18 @@
 std::optional<request_refusal>
 Charge(traffic_core& aCore,
        instant aNow,
-       request_facts const& aFacts,
+       request_properties const& aProperties,
        admitted_request& aAdmitted)
 {
   if (aAdmitted.mWorkspace == nullptr)
     return std::nullopt;
   dispatch_workspace const& workspace = *aAdmitted.mWorkspace;
-  aAdmitted.mUnits = RequestUnits(workspace, aFacts);
+  aAdmitted.mUnits = RequestUnits(workspace, aProperties);
   if (aCore.Quota().TryCharge(aNow, workspace, aAdmitted.mUnits))
     return std::nullopt;
   fleet_view const& view = *aCore.View(aNow);
   LogEvent("over_quota",
-           { { "request", aFacts.mId.Text() },
+           { { "request", aProperties.mId.Text() },
              { "workspace", workspace.mName.Text() },
              { "units", aAdmitted.mUnits },
              { "rate", workspace.mRate },
@@ -50,7 +50,7 @@
              { "used", aCore.Quota().Used(aNow, workspace.mName) },
              { "limit", aCore.Quota().Limit(workspace) },
              { "instances", std::int64_t{ view.mInstances } },
-             { "silent", std::int64_t{ view.mSilentInstances } } });
+             { "silent", std::int64_t{ view.mUnresponsiveInstances } } });
   return request_refusal{
     .mStatus = refusal_status::OverQuota,
     .mRetryAfter = std::chrono::duration_cast<std::chrono::milliseconds>(
@@ -63,7 +63,7 @@
 std::optional<request_refusal>
 AdmitRequest(traffic_core& aCore,
              instant aNow,
-             request_facts const& aFacts,
+             request_properties const& aProperties,
              std::string_view aBody,
              admitted_request& aAdmitted)
 {
@@ -71,19 +71,19 @@
   if (!aAdmitted.mConfig)
     return request_refusal{ .mRetryAfter = kConfigWait };
   if (std::optional<request_refusal> const refusal =
-        FindRows(aFacts, aAdmitted))
+        FindRows(aProperties, aAdmitted))
     return refusal;
-  aAdmitted.mFingerprint = RequestFingerprint(aFacts, aBody);
+  aAdmitted.mFingerprint = RequestFingerprint(aProperties, aBody);
   if (aCore.Crashes().IsPoison(aNow, aAdmitted.mFingerprint))
     return request_refusal{ .mRetryAfter = kPoisonWait };
   if (std::optional<request_refusal> const refusal =
-        Charge(aCore, aNow, aFacts, aAdmitted))
+        Charge(aCore, aNow, aProperties, aAdmitted))
     return refusal;
   aAdmitted.mDeadline = aNow + aAdmitted.mRoute->mTimeout;
-  if (aFacts.mPatience)
+  if (aProperties.mPatience)
     aAdmitted.mDeadline =
-      std::min(aAdmitted.mDeadline, aNow + *aFacts.mPatience);
-  aAdmitted.mPool = ChoosePool(*aAdmitted.mRoute, aFacts.mId);
+      std::min(aAdmitted.mDeadline, aNow + *aProperties.mPatience);
+  aAdmitted.mPool = ChoosePool(*aAdmitted.mRoute, aProperties.mId);
   return std::nullopt;
 }
 
--- a/Libraries/LibGateway/AdmitRequest.h
+++ b/Libraries/LibGateway/AdmitRequest.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include <LibDispatch/RequestFacts.h>
+#include <LibDispatch/RequestProperties.h>
 #include <LibGateway/AdmittedRequest.h>
 #include <LibGateway/RequestRefusal.h>
 #include <LibGateway/TrafficCore.h>
@@ -15,7 +15,7 @@
 std::optional<request_refusal>
 AdmitRequest(traffic_core& aCore,
              instant aNow,
-             request_facts const& aFacts,
+             request_properties const& aProperties,
              std::string_view aBody,
              admitted_request& aAdmitted);
 
--- a/Libraries/LibGateway/ChannelPool.cpp
+++ b/Libraries/LibGateway/ChannelPool.cpp
@@ -22,10 +22,11 @@
 }
 
 std::shared_ptr<channel_pool::tcp::socket>
-channel_pool::Take(instant aNow, listed_server const& aServer)
+channel_pool::Take(instant aNow, registered_server const& aServer)
 {
   auto const found = mServers.find(aServer.mId);
-  if (found == mServers.end() || found->second.mLife != aServer.mLife)
+  if (found == mServers.end() ||
+      found->second.mIncarnation != aServer.mIncarnation)
     return nullptr;
   std::vector<server_channel>& idle = found->second.mIdle;
   while (!idle.empty()) {
@@ -38,11 +39,11 @@
 }
 
 void
-channel_pool::Give(listed_server const& aServer, server_channel aChannel)
+channel_pool::Give(registered_server const& aServer, server_channel aChannel)
 {
   server_channels& known = mServers[aServer.mId];
-  if (known.mLife != aServer.mLife) {
-    known.mLife = aServer.mLife;
+  if (known.mIncarnation != aServer.mIncarnation) {
+    known.mIncarnation = aServer.mIncarnation;
     known.mIdle.clear();
   }
   known.mIdle.push_back(std::move(aChannel));
--- a/Libraries/LibGateway/ChannelPool.h
+++ b/Libraries/LibGateway/ChannelPool.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include <LibCore/Identifiers.h>
-#include <LibDispatch/ListedServer.h>
+#include <LibDispatch/RegisteredServer.h>
 #include <LibGateway/ServerChannel.h>
 
 #include <memory>
@@ -17,10 +17,11 @@
   using tcp = boost::asio::ip::tcp;
 
   /// An idle connection that is still open and silent, or null.
-  std::shared_ptr<tcp::socket> Take(instant aNow, listed_server const& aServer);
+  std::shared_ptr<tcp::socket> Take(instant aNow,
+                                    registered_server const& aServer);
 
   /// Keeps a connection for the next request.
-  void Give(listed_server const& aServer, server_channel aChannel);
+  void Give(registered_server const& aServer, server_channel aChannel);
 
   /// Closes what lies idle past its time, and all to servers that are gone.
   void Prune(instant aNow);
@@ -31,7 +32,7 @@
 private:
   struct server_channels
   {
-    incarnation mLife;
+    incarnation mIncarnation;
     std::vector<server_channel> mIdle;
   };
   using server_map = std::unordered_map<backend_server_id, server_channels>;
--- a/Libraries/LibGateway/Gateway.h
+++ b/Libraries/LibGateway/Gateway.h
@@ -2,7 +2,7 @@
 
 #include <LibGateway/CallerSession.h>
 #include <LibGateway/InstanceQuestions.h>
-#include <LibGateway/QuestionSession.h>
+#include <LibGateway/QuerySession.h>
 #include <LibGateway/SessionListener.h>
 
 #include <functional>
@@ -68,9 +68,9 @@
   }
 
   /// Another instance told what it saw.
-  void OnPeerNews(peer_news const& aNews)
+  void OnPeerUpdate(peer_update const& aNews)
   {
-    mCore.OnPeerNews(mClock.Now(), aNews);
+    mCore.OnPeerUpdate(mClock.Now(), aNews);
   }
 
 private:
@@ -104,8 +104,8 @@
   traffic_core mCore;
   report_handler mHandler;
   questions mQuestions;
-  session_listener<question_session<questions>, questions> mReadiness;
-  session_listener<question_session<questions>, questions> mAddresses;
+  session_listener<query_session<questions>, questions> mReadiness;
+  session_listener<query_session<questions>, questions> mAddresses;
   session_listener<caller_session<Dialect>, traffic_core> mCallers;
   boost::asio::steady_timer mTimer;
   system_clock mClock;
--- a/Libraries/LibGateway/GatewayDialect.h
+++ b/Libraries/LibGateway/GatewayDialect.h
@@ -1,8 +1,8 @@
 #pragma once
 
 #include <LibDispatch/CallerEntry.h>
-#include <LibDispatch/RequestFacts.h>
-#include <LibGateway/SendTerms.h>
+#include <LibDispatch/RequestProperties.h>
+#include <LibGateway/SendParameters.h>
 #include <LibGateway/ServerAnswer.h>
 #include <LibHttp/AnswerHead.h>
 #include <LibHttp/RequestHead.h>
@@ -15,17 +15,17 @@
 namespace lycheeseam {
 
 /// The names and formats that callers, backend servers and the gateway speak.
-/// All functions are static; ReadFacts throws invalid_input.
+/// All functions are static; ReadProperties throws invalid_input.
 template<typename Dialect>
 concept gateway_dialect = requires(request_head const& aHead,
                                    answer_head const& aAnswer,
-                                   send_terms const& aTerms,
+                                   send_parameters const& aTerms,
                                    std::span<caller_entry const> aEntries,
                                    std::chrono::seconds aLifetime)
 {
   {
-    Dialect::ReadFacts(aHead)
-    } -> std::same_as<request_facts>;
+    Dialect::ReadProperties(aHead)
+    } -> std::same_as<request_properties>;
   {
     Dialect::ForwardedRequest(aHead, aTerms)
     } -> std::same_as<request_head>;
--- a/Libraries/LibGateway/GatewayOptions.h
+++ b/Libraries/LibGateway/GatewayOptions.h
@@ -2,7 +2,7 @@
 
 #include <LibCore/Endpoint.h>
 #include <LibCore/Identifiers.h>
-#include <LibDispatch/QuotaTerms.h>
+#include <LibDispatch/QuotaParameters.h>
 
 #include <chrono>
 #include <cstdint>
@@ -19,7 +19,7 @@
   endpoint mReadiness;
   /// Where callers ask for addresses.
   endpoint mAddresses;
-  quota_terms mQuota;
+  quota_parameters mQuota;
   /// Repeats for each first attempt, over all instances.
   double mRetryRatio = 0.2;
   /// Repeats allowed besides, in a window, over all instances.
--- a/Libraries/LibGateway/PeerNews.h
+++ b/Libraries/LibGateway/PeerUpdate.h
@@ -8,7 +8,7 @@
 namespace lycheeseam {
 
 /// What another instance saw that requests of this one depend on.
-struct peer_news
+struct peer_update
 {
   std::vector<crash_count> mCrashes;
   std::vector<prefix_holder> mHolders;
--- a/Libraries/LibGateway/PlanSend.cpp
+++ b/Libraries/LibGateway/PlanSend.cpp
@@ -35,9 +35,9 @@
 
 // Of the request's shared part within its cache scope.
 std::optional<std::uint64_t>
-CacheKey(send_terms const& aTerms, request_facts const& aFacts)
+CacheKey(send_parameters const& aTerms, request_properties const& aProperties)
 {
-  prompt_part const* const shared = aFacts.SharedPart();
+  prompt_part const* const shared = aProperties.SharedPart();
   if (shared == nullptr)
     return std::nullopt;
   return Hash(shared->mId, Hash(aTerms.mCacheScope, 0));
@@ -47,7 +47,7 @@
 std::optional<endpoint>
 FetchSource(traffic_core& aCore,
             server_choice_request const& aWanted,
-            served_server const& aServer,
+            tracked_server const& aServer,
             std::uint64_t aKey,
             std::optional<endpoint> const& aStore)
 {
@@ -55,41 +55,42 @@
     aCore.Prefixes().Holder(aWanted.mNow, aKey);
   // The server may have evicted a part of what it read; what it still has
   // isn't moved.
-  if (holder == aServer.mListed.mId)
+  if (holder == aServer.mRegistered.mId)
     return aStore;
   if (holder) {
-    std::shared_ptr<served_server> const known = aCore.Servers().Find(*holder);
-    if (known && !known->mIsTurning &&
+    std::shared_ptr<tracked_server> const known = aCore.Servers().Find(*holder);
+    if (known && !known->mIsUpdating &&
         known->mBreaker.State(aWanted.mNow) == breaker_state::Closed &&
-        known->mListed.VersionOf(aWanted.mModel) ==
-          aServer.mListed.VersionOf(aWanted.mModel))
-      return known->mListed.mAddress;
+        known->mRegistered.VersionOf(aWanted.mModel) ==
+          aServer.mRegistered.VersionOf(aWanted.mModel))
+      return known->mRegistered.mAddress;
   }
   if (aStore)
     return aStore;
-  served_server const* const likely = ChooseCacheSource(
-    aCore.Servers().Pool(aServer.mListed.mPool), aWanted, aServer);
+  tracked_server const* const likely = ChooseCacheSource(
+    aCore.Servers().Pool(aServer.mRegistered.mPool), aWanted, aServer);
   if (likely != nullptr)
-    return likely->mListed.mAddress;
+    return likely->mRegistered.mAddress;
   return std::nullopt;
 }
 
 }
 
 token_count
-RequestTokens(request_facts const& aFacts)
+RequestTokens(request_properties const& aProperties)
 {
-  return aFacts.mPromptTokens.value_or(0) + aFacts.mMaxOutputTokens;
+  return aProperties.mPromptTokens.value_or(0) + aProperties.mMaxOutputTokens;
 }
 
 double
-RequestUnits(dispatch_workspace const& aWorkspace, request_facts const& aFacts)
+RequestUnits(dispatch_workspace const& aWorkspace,
+             request_properties const& aProperties)
 {
   if (aWorkspace.mUnit == quota_unit::Requests)
     return 1;
-  if (!aFacts.mPromptTokens)
+  if (!aProperties.mPromptTokens)
     return static_cast<double>(aWorkspace.mPlainTokens);
-  return static_cast<double>(RequestTokens(aFacts));
+  return static_cast<double>(RequestTokens(aProperties));
 }
 
 std::uint32_t
@@ -103,10 +104,11 @@
 }
 
 std::uint64_t
-RequestFingerprint(request_facts const& aFacts, std::string_view aBody)
+RequestFingerprint(request_properties const& aProperties,
+                   std::string_view aBody)
 {
-  std::uint64_t const path = Hash(aFacts.mPath, 0);
-  return Hash(aBody, Hash(aFacts.mKey.value_or(std::string{}), path));
+  std::uint64_t const path = Hash(aProperties.mPath, 0);
+  return Hash(aBody, Hash(aProperties.mKey.value_or(std::string{}), path));
 }
 
 pool_name
@@ -130,48 +132,51 @@
 MakeChoiceRequest(instant aNow,
                   gateway_options const& aOptions,
                   fleet_view const& aView,
-                  request_facts const& aFacts,
+                  request_properties const& aProperties,
                   std::vector<backend_server_id> const& aTried)
 {
   server_choice_request wanted{ .mNow = aNow,
                                 .mDomain = aOptions.mDomain,
-                                .mModel = aFacts.mModel,
-                                .mWeights = aView.FindWeights(aFacts.mModel),
+                                .mModel = aProperties.mModel,
+                                .mWeights =
+                                  aView.FindWeights(aProperties.mModel),
                                 .mOutdatedAfter = aOptions.mOutdatedAfter,
                                 .mTried = aTried };
-  if (prompt_part const* const shared = aFacts.SharedPart())
+  if (prompt_part const* const shared = aProperties.SharedPart())
     wanted.mPromptKey = Hash(shared->mId, 0);
   return wanted;
 }
 
-send_terms
+send_parameters
 PlanSend(traffic_core& aCore,
          server_choice_request const& aWanted,
-         served_server const& aServer,
+         tracked_server const& aServer,
          admitted_request const& aRows,
-         request_facts const& aFacts,
+         request_properties const& aProperties,
          std::optional<std::uint64_t> aLastEvent)
 {
   dispatch_workspace const* const workspace = aRows.mWorkspace;
-  send_terms terms{ .mServer = aServer.mListed.mId,
-                    .mTimeLeft =
-                      std::chrono::duration_cast<std::chrono::milliseconds>(
-                        aRows.mDeadline - aWanted.mNow),
-                    .mPriority = RequestPriority(*aRows.mRoute, workspace),
-                    .mLastEvent = aLastEvent ? aLastEvent : aFacts.mLastEvent };
+  send_parameters terms{
+    .mServer = aServer.mRegistered.mId,
+    .mTimeLeft = std::chrono::duration_cast<std::chrono::milliseconds>(
+      aRows.mDeadline - aWanted.mNow),
+    .mPriority = RequestPriority(*aRows.mRoute, workspace),
+    .mLastEvent = aLastEvent ? aLastEvent : aProperties.mLastEvent
+  };
   if (workspace != nullptr)
     terms.mWorkspace = workspace->mName;
-  if (aFacts.mModel.IsEmpty())
+  if (aProperties.mModel.IsEmpty())
     return terms;
-  std::uint64_t const version = aServer.mListed.VersionOf(aFacts.mModel);
+  std::uint64_t const version =
+    aServer.mRegistered.VersionOf(aProperties.mModel);
   if (version > 0)
     terms.mVersion = version;
   // Parts made under other weights, or walled off, lie under another text.
   terms.mCacheScope = "v" + std::to_string(version);
   if (workspace != nullptr && workspace->mIsIsolated)
     terms.mCacheScope += "/" + workspace->mName.Text();
-  std::optional<std::uint64_t> const key = CacheKey(terms, aFacts);
-  if (!key || aFacts.SharedTokens() < kLeastFetchedTokens)
+  std::optional<std::uint64_t> const key = CacheKey(terms, aProperties);
+  if (!key || aProperties.SharedTokens() < kLeastFetchedTokens)
     return terms;
   std::optional<endpoint> const store = CacheStoreOf(aCore, aWanted.mNow);
   bool const isStored = aCore.Prefixes().IsSaved(aWanted.mNow, *key);
@@ -184,9 +189,9 @@
 }
 
 std::optional<prefix_holder>
-PartRead(send_terms const& aTerms, request_facts const& aFacts)
+PartRead(send_parameters const& aTerms, request_properties const& aProperties)
 {
-  std::optional<std::uint64_t> const key = CacheKey(aTerms, aFacts);
+  std::optional<std::uint64_t> const key = CacheKey(aTerms, aProperties);
   if (!key)
     return std::nullopt;
   return prefix_holder{ .mKey = *key,
--- a/Libraries/LibGateway/QuestionSession.h
+++ b/Libraries/LibGateway/QuerySession.h
@@ -22,15 +22,15 @@
 /// A connection on which the instance is asked about itself. Answerer has
 /// Answer(request_head) and outlives the session.
 template<typename Answerer>
-class question_session
-  : public std::enable_shared_from_this<question_session<Answerer>>
+class query_session
+  : public std::enable_shared_from_this<query_session<Answerer>>
 {
 public:
   using tcp = boost::asio::ip::tcp;
 
-  question_session(boost::asio::io_context& aContext,
-                   Answerer& aAnswerer,
-                   tcp::socket aSocket)
+  query_session(boost::asio::io_context& aContext,
+                Answerer& aAnswerer,
+                tcp::socket aSocket)
     : mAnswerer(aAnswerer)
     , mSocket(std::move(aSocket))
     , mTimer(aContext)
--- a/Libraries/LibGateway/RequestRun.h
+++ b/Libraries/LibGateway/RequestRun.h
@@ -49,7 +49,7 @@
   void Start()
   {
     try {
-      mSender.ReadFacts();
+      mSender.ReadProperties();
       mTrace.mRequest = mSender.Facts().mId;
     } catch (invalid_input const&) {
       return Refuse(refusal_status::BadRequest, {});
@@ -88,7 +88,7 @@
     bool const isReplaceable =
       !aHead.IsSuccess() && (mAnswer.IsHeadSent() || MayRepeatNow());
     mAttempt.SetOutcome(JudgeAnswer(aHead, answer, isReplaceable));
-    bool const isStream = mRows.mRoute->mKind == work_kind::Stream;
+    bool const isStream = mRows.mRoute->mKind == request_kind::Stream;
     if (mAttempt.Outcome() == attempt_outcome::Taken)
       mAnswer.Begin(*mCaller, aHead, isStream && aHead.IsSuccess());
     return answer_use::Take;
@@ -252,13 +252,14 @@
     mAttempt.OnAnswered(mClock.Now());
     mAttempt.End();
     mEvents.OnAnswer(
-      mClock.Now(), mAttempt.Server().mListed.mId, mAnswer.Status());
+      mClock.Now(), mAttempt.Server().mRegistered.mId, mAnswer.Status());
     mAnswer.Finish(*Settle());
   }
 
   void NoteEnd(std::string_view aCause)
   {
-    mEvents.OnAttemptEnd(mClock.Now(), mAttempt.Server().mListed.mId, aCause);
+    mEvents.OnAttemptEnd(
+      mClock.Now(), mAttempt.Server().mRegistered.mId, aCause);
   }
 
   // Nothing comes after the caller's final answer, or after it has gone.
--- a/Libraries/LibGateway/RequestSender.h
+++ b/Libraries/LibGateway/RequestSender.h
@@ -32,20 +32,25 @@
   }
 
   /// Reads the head; throws invalid_input.
-  void ReadFacts() { mFacts = Dialect::ReadFacts(mHead); }
+  void ReadProperties() { mProperties = Dialect::ReadProperties(mHead); }
 
-  [[nodiscard]] request_facts const& Facts() const noexcept { return mFacts; }
+  [[nodiscard]] request_properties const& Facts() const noexcept
+  {
+    return mProperties;
+  }
   [[nodiscard]] std::string const& Body() const noexcept { return *mBody; }
 
   /// The best server of a pool now.
   [[nodiscard]] server_pick Pick(instant aNow, pool_name const& aPool)
   {
     server_pick pick{ .mView = mCore.View(aNow) };
-    pick.mWanted =
-      MakeChoiceRequest(aNow, mCore.Options(), *pick.mView, mFacts, mTried);
-    std::span<served_server* const> const servers = mCore.Servers().Pool(aPool);
-    if (served_server const* const chosen = ChooseServer(servers, pick.mWanted))
-      pick.mServer = mCore.Servers().Find(chosen->mListed.mId);
+    pick.mWanted = MakeChoiceRequest(
+      aNow, mCore.Options(), *pick.mView, mProperties, mTried);
+    std::span<tracked_server* const> const servers =
+      mCore.Servers().Pool(aPool);
+    if (tracked_server const* const chosen =
+          ChooseServer(servers, pick.mWanted))
+      pick.mServer = mCore.Servers().Find(chosen->mRegistered.mId);
     return pick;
   }
 
@@ -56,12 +61,12 @@
                           run_trace& aTrace,
                           std::optional<std::uint64_t> aLastEvent)
   {
-    served_server const& server = *aPick.mServer;
-    mTried.push_back(server.mListed.mId);
+    tracked_server const& server = *aPick.mServer;
+    mTried.push_back(server.mRegistered.mId);
     mCore.Meter().OnSend(aRows, aTrace.mSends > 0);
     ++aTrace.mSends;
-    send_terms const terms =
-      PlanSend(mCore, aPick.mWanted, server, aRows, mFacts, aLastEvent);
+    send_parameters const terms =
+      PlanSend(mCore, aPick.mWanted, server, aRows, mProperties, aLastEvent);
     aTrace.mFetchFrom = terms.mFetchFrom;
     aTrace.mPressure = server.Pressure(aPick.mWanted.mNow);
     request_head head = Dialect::ForwardedRequest(mHead, terms);
@@ -71,15 +76,15 @@
     return { .mHead = FormatRequestHead(head),
              .mBody = mBody,
              .mAnswerHasBody = mHead.mMethod != "HEAD",
-             .mTokens = RequestTokens(mFacts),
-             .mPart = PartRead(terms, mFacts) };
+             .mTokens = RequestTokens(mProperties),
+             .mPart = PartRead(terms, mProperties) };
   }
 
 private:
   traffic_core& mCore;
   request_head mHead;
   std::shared_ptr<std::string const> mBody;
-  request_facts mFacts;
+  request_properties mProperties;
   std::vector<backend_server_id> mTried;
 };
 
--- a/Libraries/LibGateway/SendTerms.h
+++ b/Libraries/LibGateway/SendParameters.h
@@ -11,7 +11,7 @@
 namespace lycheeseam {
 
 /// What a request tells a backend server besides the caller's own words.
-struct send_terms
+struct send_parameters
 {
   /// Only this server may run it.
   backend_server_id mServer;
--- a/Libraries/LibGateway/ServerAttempt.h
+++ b/Libraries/LibGateway/ServerAttempt.h
@@ -24,7 +24,7 @@
   }
 
   /// Sends; the attempt before must have ended.
-  void Begin(std::shared_ptr<served_server> aServer,
+  void Begin(std::shared_ptr<tracked_server> aServer,
              attempt_request aRequest,
              std::shared_ptr<Sink> aSink)
   {
@@ -66,7 +66,7 @@
     breaker_state const before = mServer->mBreaker.State(aNow);
     mServer->mBreaker.OnAbsence(aNow);
     NoteBreaker(aNow, before);
-    mCore.Channels().Forget(mServer->mListed.mId);
+    mCore.Channels().Forget(mServer->mRegistered.mId);
   }
 
   /// The server's connection broke, or its machine fell silent.
@@ -80,7 +80,7 @@
     NoteBreaker(aNow, before);
     // Kept connections to it may be as dead as this one; a new one shows at
     // once whether it lives, before anything is sent.
-    mCore.Channels().Forget(mServer->mListed.mId);
+    mCore.Channels().Forget(mServer->mRegistered.mId);
   }
 
   /// The answer is whole.
@@ -99,7 +99,7 @@
   }
 
   /// The server of the attempt that began last.
-  [[nodiscard]] served_server& Server() const { return *mServer; }
+  [[nodiscard]] tracked_server& Server() const { return *mServer; }
 
   [[nodiscard]] attempt_outcome Outcome() const noexcept { return mOutcome; }
   void SetOutcome(attempt_outcome aOutcome) noexcept { mOutcome = aOutcome; }
@@ -110,13 +110,14 @@
     if (aBefore == breaker_state::Open ||
         mServer->mBreaker.State(aNow) != breaker_state::Open)
       return;
-    mCore.Meter().OnBreakerOpened(mServer->mListed.mId);
-    LogEvent("breaker_opened", { { "server", mServer->mListed.mId.Text() } });
+    mCore.Meter().OnBreakerOpened(mServer->mRegistered.mId);
+    LogEvent("breaker_opened",
+             { { "server", mServer->mRegistered.mId.Text() } });
   }
 
   boost::asio::io_context& mContext;
   traffic_core& mCore;
-  std::shared_ptr<served_server> mServer;
+  std::shared_ptr<tracked_server> mServer;
   std::shared_ptr<server_exchange<Sink>> mExchange;
   token_count mTokens = 0;
   std::optional<prefix_holder> mPart;
--- a/Libraries/LibGateway/ServerExchange.h
+++ b/Libraries/LibGateway/ServerExchange.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include <LibCore/SystemClock.h>
-#include <LibDispatch/ServedServer.h>
+#include <LibDispatch/TrackedServer.h>
 #include <LibGateway/AnswerUse.h>
 #include <LibGateway/ChannelPool.h>
 #include <LibGateway/ExchangeEnd.h>
@@ -42,7 +42,7 @@
 
   server_exchange(boost::asio::io_context& aContext,
                   channel_pool& aPool,
-                  std::shared_ptr<served_server> aServer,
+                  std::shared_ptr<tracked_server> aServer,
                   std::shared_ptr<Sink> aSink)
     : mContext(aContext)
     , mPool(aPool)
@@ -60,7 +60,7 @@
     mHead = std::move(aHead);
     mBody = std::move(aBody);
     mAnswerHasBody = aAnswerHasBody;
-    mSocket = mPool.Take(mClock.Now(), mServer->mListed);
+    mSocket = mPool.Take(mClock.Now(), mServer->mRegistered);
     if (mSocket)
       return Send();
     Connect();
@@ -111,8 +111,8 @@
   {
     mSocket = std::make_shared<tcp::socket>(mContext);
     boost::system::error_code fault;
-    boost::asio::ip::address const address =
-      boost::asio::ip::make_address(mServer->mListed.mAddress.mAddress, fault);
+    boost::asio::ip::address const address = boost::asio::ip::make_address(
+      mServer->mRegistered.mAddress.mAddress, fault);
     if (fault)
       return End(exchange_end::NotConnected);
     mTimer.expires_after(kConnectTimeout);
@@ -122,7 +122,7 @@
           self->End(exchange_end::NotConnected);
       });
     mSocket->async_connect(
-      { address, mServer->mListed.mAddress.mPort },
+      { address, mServer->mRegistered.mAddress.mPort },
       [self = this->shared_from_this()](boost::system::error_code aFault) {
         self->OnConnected(aFault);
       });
@@ -247,7 +247,7 @@
                             mParser->get().keep_alive() &&
                             mBuffer.size() == 0 && mIdleTime.count() > 0;
     if (isReusable)
-      mPool.Give(mServer->mListed,
+      mPool.Give(mServer->mRegistered,
                  { .mSocket = std::move(mSocket),
                    .mUsableUntil = mClock.Now() + mIdleTime });
     Close();
@@ -265,7 +265,7 @@
 
   boost::asio::io_context& mContext;
   channel_pool& mPool;
-  std::shared_ptr<served_server> mServer;
+  std::shared_ptr<tracked_server> mServer;
   /// Null once the exchange has ended.
   std::shared_ptr<Sink> mSink;
   boost::asio::steady_timer mTimer;
--- a/Libraries/LibGateway/ServerPick.h
+++ b/Libraries/LibGateway/ServerPick.h
@@ -1,8 +1,8 @@
 #pragma once
 
 #include <LibDispatch/FleetView.h>
-#include <LibDispatch/ServedServer.h>
 #include <LibDispatch/ServerChoiceRequest.h>
+#include <LibDispatch/TrackedServer.h>
 
 #include <memory>
 
@@ -15,7 +15,7 @@
   std::shared_ptr<fleet_view const> mView;
   server_choice_request mWanted;
   /// Null when none may take the request now.
-  std::shared_ptr<served_server> mServer;
+  std::shared_ptr<tracked_server> mServer;
 };
 
 }
--- a/Libraries/LibGateway/TrafficCore.cpp
+++ b/Libraries/LibGateway/TrafficCore.cpp
@@ -88,11 +88,11 @@
 }
 
 void
-traffic_core::OnAbsent(served_server& aServer)
+traffic_core::OnAbsent(tracked_server& aServer)
 {
-  aServer.mListed.mStage = server_stage::Leaving;
-  mReport.mGone.push_back(
-    { .mServer = aServer.mListed.mId, .mIncarnation = aServer.mListed.mLife });
+  aServer.mRegistered.mStage = server_stage::Leaving;
+  mReport.mGone.push_back({ .mServer = aServer.mRegistered.mId,
+                            .mIncarnation = aServer.mRegistered.mIncarnation });
 }
 
 void
@@ -103,7 +103,7 @@
 }
 
 void
-traffic_core::OnPeerNews(instant aNow, peer_news const& aNews)
+traffic_core::OnPeerUpdate(instant aNow, peer_update const& aNews)
 {
   for (crash_count const& crash : aNews.mCrashes)
     mCrashes.OnCrash(aNow, crash.mFingerprint, crash.mCount);
@@ -113,13 +113,13 @@
 
 void
 traffic_core::OnAnswer(instant aNow,
-                       served_server& aServer,
+                       tracked_server& aServer,
                        model_name const& aModel,
                        server_answer const& aAnswer)
 {
   aServer.mBreaker.OnSuccess();
   if (aAnswer.mIsMisdirected && aAnswer.mServer &&
-      *aAnswer.mServer != aServer.mListed.mId)
+      *aAnswer.mServer != aServer.mRegistered.mId)
     OnAbsent(aServer);
   if (aAnswer.mLoad) {
     aServer.mLoad = aAnswer.mLoad;
@@ -131,15 +131,16 @@
 }
 
 void
-traffic_core::OnWeights(served_server& aServer,
+traffic_core::OnWeights(tracked_server& aServer,
                         model_name const& aModel,
                         std::uint64_t aVersion)
 {
-  if (aServer.mListed.RaiseVersion(aModel, aVersion))
-    mReport.mWeights.push_back({ .mServer = aServer.mListed.mId,
-                                 .mLife = aServer.mListed.mLife,
-                                 .mModel = aModel,
-                                 .mVersion = aVersion });
+  if (aServer.mRegistered.RaiseVersion(aModel, aVersion))
+    mReport.mWeights.push_back(
+      { .mServer = aServer.mRegistered.mId,
+        .mIncarnation = aServer.mRegistered.mIncarnation,
+        .mModel = aModel,
+        .mVersion = aVersion });
 }
 
 traffic_report
--- a/Libraries/LibGateway/TrafficCore.h
+++ b/Libraries/LibGateway/TrafficCore.h
@@ -3,14 +3,14 @@
 #include <LibAdmission/RetryBudget.h>
 #include <LibCore/Published.h>
 #include <LibCore/SystemClock.h>
-#include <LibDispatch/CrashLedger.h>
+#include <LibDispatch/CrashTracker.h>
 #include <LibDispatch/FleetView.h>
-#include <LibDispatch/PrefixMemory.h>
-#include <LibDispatch/QuotaLedger.h>
+#include <LibDispatch/PrefixIndex.h>
+#include <LibDispatch/QuotaLimiter.h>
 #include <LibDispatch/ServerTable.h>
 #include <LibGateway/ChannelPool.h>
 #include <LibGateway/GatewayOptions.h>
-#include <LibGateway/PeerNews.h>
+#include <LibGateway/PeerUpdate.h>
 #include <LibGateway/ServerAnswer.h>
 #include <LibGateway/TrafficMeter.h>
 #include <LibGateway/TrafficReport.h>
@@ -47,12 +47,12 @@
 
   /// A server answered, to a request for a model or a plain one.
   void OnAnswer(instant aNow,
-                served_server& aServer,
+                tracked_server& aServer,
                 model_name const& aModel,
                 server_answer const& aAnswer);
 
   /// An answer showed newer weights than were known.
-  void OnWeights(served_server& aServer,
+  void OnWeights(tracked_server& aServer,
                  model_name const& aModel,
                  std::uint64_t aVersion);
 
@@ -60,13 +60,13 @@
   [[nodiscard]] traffic_report TakeReport(instant aNow);
 
   /// Another server answered at its address.
-  void OnAbsent(served_server& aServer);
+  void OnAbsent(tracked_server& aServer);
 
   /// A server read a shared prompt part.
   void OnServed(instant aNow, prefix_holder const& aHolder);
 
   /// Takes over what another instance saw.
-  void OnPeerNews(instant aNow, peer_news const& aNews);
+  void OnPeerUpdate(instant aNow, peer_update const& aNews);
 
   /// Drops what is too old to matter.
   void Prune(instant aNow);
@@ -76,9 +76,9 @@
     return mOptions;
   }
   [[nodiscard]] server_table& Servers() noexcept { return mServers; }
-  [[nodiscard]] quota_ledger& Quota() noexcept { return mQuota; }
-  [[nodiscard]] crash_ledger& Crashes() noexcept { return mCrashes; }
-  [[nodiscard]] prefix_memory& Prefixes() noexcept { return mPrefixes; }
+  [[nodiscard]] quota_limiter& Quota() noexcept { return mQuota; }
+  [[nodiscard]] crash_tracker& Crashes() noexcept { return mCrashes; }
+  [[nodiscard]] prefix_index& Prefixes() noexcept { return mPrefixes; }
   [[nodiscard]] traffic_meter& Meter() noexcept { return mMeter; }
   [[nodiscard]] channel_pool& Channels() noexcept { return mChannels; }
   [[nodiscard]] bool IsLeaving() const noexcept { return mIsLeaving; }
@@ -94,9 +94,9 @@
   published<fleet_view> const& mPublished;
   std::shared_ptr<fleet_view const> mView;
   server_table mServers;
-  quota_ledger mQuota;
-  crash_ledger mCrashes;
-  prefix_memory mPrefixes;
+  quota_limiter mQuota;
+  crash_tracker mCrashes;
+  prefix_index mPrefixes;
   channel_pool mChannels;
   allowances mAllowances;
   traffic_meter mMeter;
--- a/Libraries/LibGateway/TrafficReport.h
+++ b/Libraries/LibGateway/TrafficReport.h
@@ -1,10 +1,10 @@
 #pragma once
 
-#include <LibCore/ServerLife.h>
+#include <LibCore/ServerIdentity.h>
 #include <LibDispatch/CrashCount.h>
+#include <LibDispatch/ObservedWeights.h>
 #include <LibDispatch/PrefixHolder.h>
-#include <LibDispatch/SeenWeights.h>
-#include <LibDispatch/SpentUnits.h>
+#include <LibDispatch/WorkspaceUsage.h>
 #include <LibMetrics/MetricsDelta.h>
 
 #include <vector>
@@ -15,16 +15,16 @@
 struct traffic_report
 {
   /// What this instance admitted since its start.
-  std::vector<spent_units> mSpent;
+  std::vector<workspace_usage> mSpent;
   /// What all instances admitted in the quota window that ends now; empty
   /// until this one has counted for a whole window.
-  std::vector<spent_units> mUsed;
+  std::vector<workspace_usage> mUsed;
   /// Servers lost by requests since the last report.
   std::vector<crash_count> mCrashes;
   /// Versions newer than the servers' entries say, from their answers.
-  std::vector<seen_weights> mWeights;
+  std::vector<observed_weights> mWeights;
   /// Servers whose address another one has.
-  std::vector<server_life> mGone;
+  std::vector<server_identity> mGone;
   /// Prompt parts that servers read since the last report.
   std::vector<prefix_holder> mHolders;
   /// What the traffic thread counted and timed since the last report.
--- a/Libraries/LibLimits/BorrowingAccount.cpp
+++ b/Libraries/LibLimits/BorrowingAccount.cpp
@@ -95,7 +95,7 @@
 
 std::vector<token_request>
 borrowing_account::Ask(instant aNow,
-                       instance_life const& aSelf,
+                       instance_identity const& aSelf,
                        slot_fold const& aSlots,
                        std::uint64_t& aLastSequence)
 {
--- a/Libraries/LibLimits/BorrowingAccount.h
+++ b/Libraries/LibLimits/BorrowingAccount.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include <LibConfig/WorkspaceRow.h>
-#include <LibCore/InstanceLife.h>
+#include <LibCore/InstanceIdentity.h>
 #include <LibLimits/AdmittedCharge.h>
 #include <LibLimits/BudgetTiming.h>
 #include <LibLimits/ChargeRequest.h>
@@ -54,7 +54,7 @@
 
   /// The asks to send for what is missing. aLastSequence numbers them.
   std::vector<token_request> Ask(instant aNow,
-                                 instance_life const& aSelf,
+                                 instance_identity const& aSelf,
                                  slot_fold const& aSlots,
                                  std::uint64_t& aLastSequence);
 
--- a/Libraries/LibLimits/BudgetBorrower.cpp
+++ b/Libraries/LibLimits/BudgetBorrower.cpp
@@ -12,7 +12,7 @@
 
 }
 
-budget_borrower::budget_borrower(instance_life aSelf, budget_timing aTiming)
+budget_borrower::budget_borrower(instance_identity aSelf, budget_timing aTiming)
   : mSelf(std::move(aSelf))
   , mTiming(aTiming)
 {
--- a/Libraries/LibLimits/BudgetBorrower.h
+++ b/Libraries/LibLimits/BudgetBorrower.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include <LibConfig/WorkspaceRow.h>
-#include <LibCore/InstanceLife.h>
+#include <LibCore/InstanceIdentity.h>
 #include <LibLimits/BorrowingAccount.h>
 #include <LibLimits/BudgetEnvelope.h>
 #include <LibLimits/BudgetTiming.h>
@@ -22,7 +22,7 @@
 class budget_borrower
 {
 public:
-  budget_borrower(instance_life aSelf, budget_timing aTiming);
+  budget_borrower(instance_identity aSelf, budget_timing aTiming);
 
   /// Puts a workspace's limits in force.
   void OnLimits(workspace_row const& aRow, slot_layout aLayout);
@@ -69,7 +69,7 @@
                   charge_part const& aPart,
                   slot_fold const& aSlots);
 
-  instance_life mSelf;
+  instance_identity mSelf;
   budget_timing mTiming;
   std::uint64_t mLastSequence = 0;
   instant mReportAt;
--- a/Libraries/LibLimits/BudgetHome.cpp
+++ b/Libraries/LibLimits/BudgetHome.cpp
@@ -14,7 +14,7 @@
 
 }
 
-budget_home::budget_home(instance_life aSelf,
+budget_home::budget_home(instance_identity aSelf,
                          slot_layout aLayout,
                          budget_timing aTiming)
   : mSelf(std::move(aSelf))
--- a/Libraries/LibLimits/BudgetHome.h
+++ b/Libraries/LibLimits/BudgetHome.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include <LibConfig/WorkspaceRow.h>
-#include <LibCore/InstanceLife.h>
+#include <LibCore/InstanceIdentity.h>
 #include <LibLimits/BudgetEnvelope.h>
 #include <LibLimits/BudgetTiming.h>
 #include <LibLimits/GivingPermission.h>
@@ -21,7 +21,9 @@
 class budget_home
 {
 public:
-  budget_home(instance_life aSelf, slot_layout aLayout, budget_timing aTiming);
+  budget_home(instance_identity aSelf,
+              slot_layout aLayout,
+              budget_timing aTiming);
 
   /// Drops the slots that this life of the instance no longer holds.
   void OnSlots(slot_fold const& aSlots);
@@ -110,7 +112,7 @@
              home_account& aAccount,
              giving_permission aPermission);
 
-  instance_life mSelf;
+  instance_identity mSelf;
   budget_timing mTiming;
   slot_layout mLayout;
   std::map<workspace_id, workspace_row> mRows;
--- a/Libraries/LibLimits/BudgetMessage.h
+++ b/Libraries/LibLimits/BudgetMessage.h
@@ -1,7 +1,7 @@
 #pragma once
 
-#include <LibLimits/StandingProbe.h>
-#include <LibLimits/StandingWord.h>
+#include <LibLimits/QuorumAnswer.h>
+#include <LibLimits/QuorumProbe.h>
 #include <LibLimits/TokenGrant.h>
 #include <LibLimits/TokenRefund.h>
 #include <LibLimits/TokenReport.h>
@@ -16,7 +16,7 @@
                                     token_grant,
                                     token_refund,
                                     token_report,
-                                    standing_probe,
-                                    standing_word>;
+                                    quorum_probe,
+                                    quorum_answer>;
 
 }
--- a/Libraries/LibLimits/FleetBudget.cpp
+++ b/Libraries/LibLimits/FleetBudget.cpp
@@ -18,7 +18,7 @@
 
 }
 
-fleet_budget::fleet_budget(instance_life aSelf,
+fleet_budget::fleet_budget(instance_identity aSelf,
                            slot_layout aLayout,
                            budget_timing aTiming,
                            takeover_timing aTakeover)
@@ -186,16 +186,16 @@
   if (!isHolder)
     return;
   peers.erase(mSelf.mInstance);
-  standing_probe const probe{ .mFrom = mSelf, .mSentAt = aNow };
+  quorum_probe const probe{ .mFrom = mSelf, .mSentAt = aNow };
   for (instance_id const& peer : peers)
     mOutbox.push_back({ .mTo = peer, .mMessage = probe });
   mRelease.OnWord(Word(aNow, probe));
 }
 
-standing_word
-fleet_budget::Word(instant aNow, standing_probe const& aProbe) const
+quorum_answer
+fleet_budget::Word(instant aNow, quorum_probe const& aProbe) const
 {
-  standing_word word{ .mFrom = mSelf,
+  quorum_answer word{ .mFrom = mSelf,
                       .mTo = aProbe.mFrom,
                       .mProbeSentAt = aProbe.mSentAt,
                       .mFolded = mFolded,
@@ -235,7 +235,7 @@
 }
 
 void
-fleet_budget::Handle(instant aNow, standing_probe const& aMessage)
+fleet_budget::Handle(instant aNow, quorum_probe const& aMessage)
 {
   mWatch.OnHeard(aNow, aMessage.mFrom.mInstance);
   mOutbox.push_back(
@@ -243,7 +243,7 @@
 }
 
 void
-fleet_budget::Handle(instant aNow, standing_word const& aMessage)
+fleet_budget::Handle(instant aNow, quorum_answer const& aMessage)
 {
   if (aMessage.mTo != mSelf)
     return;
--- a/Libraries/LibLimits/FleetBudget.h
+++ b/Libraries/LibLimits/FleetBudget.h
@@ -22,7 +22,7 @@
 class fleet_budget
 {
 public:
-  fleet_budget(instance_life aSelf,
+  fleet_budget(instance_identity aSelf,
                slot_layout aLayout,
                budget_timing aTiming,
                takeover_timing aTakeover);
@@ -92,16 +92,16 @@
   void OnSlotsChanged(instant aNow);
   void OpenReleased(instant aNow);
   void Probe(instant aNow);
-  [[nodiscard]] standing_word Word(instant aNow,
-                                   standing_probe const& aProbe) const;
+  [[nodiscard]] quorum_answer Word(instant aNow,
+                                   quorum_probe const& aProbe) const;
   void Handle(instant aNow, token_request const& aMessage);
   void Handle(instant aNow, token_grant const& aMessage);
   void Handle(instant aNow, token_refund const& aMessage);
   void Handle(instant aNow, token_report const& aMessage);
-  void Handle(instant aNow, standing_probe const& aMessage);
-  void Handle(instant aNow, standing_word const& aMessage);
+  void Handle(instant aNow, quorum_probe const& aMessage);
+  void Handle(instant aNow, quorum_answer const& aMessage);
 
-  instance_life mSelf;
+  instance_identity mSelf;
   budget_timing mTiming;
   slot_fold mSlots;
   log_offset mFolded;
--- a/Libraries/LibLimits/HomeStanding.cpp
+++ b/Libraries/LibLimits/HomeStanding.cpp
@@ -29,7 +29,7 @@
 }
 
 void
-home_standing::OnWord(instant aNow, standing_word const& aWord)
+home_standing::OnWord(instant aNow, quorum_answer const& aWord)
 {
   for (slot_id const slot : aWord.mSlots) {
     instant& contact = mContacts[slot];
--- a/Libraries/LibLimits/HomeStanding.h
+++ b/Libraries/LibLimits/HomeStanding.h
@@ -3,8 +3,8 @@
 #include <LibCore/Instant.h>
 #include <LibLimits/BudgetTiming.h>
 #include <LibLimits/GivingPermission.h>
+#include <LibLimits/QuorumAnswer.h>
 #include <LibLimits/SlotLayout.h>
-#include <LibLimits/StandingWord.h>
 
 #include <cstddef>
 #include <map>
@@ -32,7 +32,7 @@
   void OnOwnSlots(std::span<slot_id const> aSlots);
 
   /// A holder of slots has answered a probe.
-  void OnWord(instant aNow, standing_word const& aWord);
+  void OnWord(instant aNow, quorum_answer const& aWord);
 
   /// Whether tokens may be lent now.
   [[nodiscard]] giving_permission At(instant aNow) const;
--- a/Libraries/LibLimits/OpeningWait.cpp
+++ b/Libraries/LibLimits/OpeningWait.cpp
@@ -6,7 +6,7 @@
 
 duration
 OpeningWait(slot_holder const& aHolder,
-            instance_life const& aSelf,
+            instance_identity const& aSelf,
             budget_timing const& aTiming)
 {
   if (aHolder.mFormer.empty())
--- a/Libraries/LibLimits/OpeningWait.h
+++ b/Libraries/LibLimits/OpeningWait.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include <LibCore/InstanceLife.h>
+#include <LibCore/InstanceIdentity.h>
 #include <LibLimits/BudgetTiming.h>
 #include <LibLimits/SlotHolder.h>
 
@@ -10,7 +10,7 @@
 /// every loan that they gave has lapsed.
 duration
 OpeningWait(slot_holder const& aHolder,
-            instance_life const& aSelf,
+            instance_identity const& aSelf,
             budget_timing const& aTiming);
 
 }
--- a/Libraries/LibLimits/StandingWord.h
+++ b/Libraries/LibLimits/QuorumAnswer.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include <LibCore/InstanceLife.h>
+#include <LibCore/InstanceIdentity.h>
 #include <LibCore/Instant.h>
 #include <LibRecords/SlotId.h>
 
@@ -8,13 +8,13 @@
 
 namespace lycheeseam {
 
-/// An instance's answer to a standing probe.
-struct standing_word
+/// An instance's answer to a quorum probe.
+struct quorum_answer
 {
-  instance_life mFrom;
-  instance_life mTo;
-  /// When the probe was sent, by the clock of its sender: the word is no
-  /// older than that.
+  instance_identity mFrom;
+  instance_identity mTo;
+  /// When the probe was sent, by the clock of its sender: the answer is
+  /// no older than that.
   instant mProbeSentAt;
   /// The slots that the instance holds and may lend from now.
   std::vector<slot_id> mSlots;
@@ -24,7 +24,7 @@
   /// heard for the silence bound although it has run that long.
   std::vector<instance_id> mSilent;
 
-  bool operator==(standing_word const&) const = default;
+  bool operator==(quorum_answer const&) const = default;
 };
 
 }
--- a/Libraries/LibLimits/SlotRelease.cpp
+++ b/Libraries/LibLimits/SlotRelease.cpp
@@ -6,7 +6,7 @@
 
 namespace lycheeseam {
 
-slot_release::slot_release(instance_life aSelf, budget_timing aTiming)
+slot_release::slot_release(instance_identity aSelf, budget_timing aTiming)
   : mSelf(std::move(aSelf))
   , mTiming(aTiming)
 {
@@ -34,9 +34,9 @@
 }
 
 void
-slot_release::OnWord(standing_word const& aWord)
+slot_release::OnWord(quorum_answer const& aWord)
 {
-  standing_word& last = mWords[aWord.mFrom.mInstance];
+  quorum_answer& last = mWords[aWord.mFrom.mInstance];
   if (aWord.mProbeSentAt >= last.mProbeSentAt)
     last = aWord;
 }
--- a/Libraries/LibLimits/SlotRelease.h
+++ b/Libraries/LibLimits/SlotRelease.h
@@ -1,10 +1,10 @@
 #pragma once
 
-#include <LibCore/InstanceLife.h>
+#include <LibCore/InstanceIdentity.h>
 #include <LibCore/Instant.h>
 #include <LibLimits/BudgetTiming.h>
+#include <LibLimits/QuorumAnswer.h>
 #include <LibLimits/SlotFold.h>
-#include <LibLimits/StandingWord.h>
 
 #include <cstdint>
 #include <map>
@@ -22,13 +22,13 @@
 class slot_release
 {
 public:
-  slot_release(instance_life aSelf, budget_timing aTiming);
+  slot_release(instance_identity aSelf, budget_timing aTiming);
 
   /// Follows the slots' holders.
   void OnSlots(instant aNow, slot_fold const& aSlots);
 
   /// Any instance's answer to a probe, this one's own included.
-  void OnWord(standing_word const& aWord);
+  void OnWord(quorum_answer const& aWord);
 
   /// The claimed slots that are let go now; each is named once.
   std::vector<slot_id> TakeReleased(instant aNow);
@@ -51,13 +51,13 @@
                               pending_slot const& aPending,
                               instance_id const& aFormer) const;
 
-  instance_life mSelf;
+  instance_identity mSelf;
   budget_timing mTiming;
   std::uint32_t mSlots = 0;
   /// The claims that were pending or released.
   std::map<slot_id, log_offset> mSeen;
   std::map<slot_id, pending_slot> mPending;
-  std::map<instance_id, standing_word> mWords;
+  std::map<instance_id, quorum_answer> mWords;
 };
 
 }
--- a/Libraries/LibLimits/SlotTakeover.cpp
+++ b/Libraries/LibLimits/SlotTakeover.cpp
@@ -27,7 +27,7 @@
 
 }
 
-slot_takeover::slot_takeover(instance_life aSelf, takeover_timing aTiming)
+slot_takeover::slot_takeover(instance_identity aSelf, takeover_timing aTiming)
   : mSelf(std::move(aSelf))
   , mTiming(aTiming)
 {
--- a/Libraries/LibLimits/SlotTakeover.h
+++ b/Libraries/LibLimits/SlotTakeover.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include <LibCore/InstanceLife.h>
+#include <LibCore/InstanceIdentity.h>
 #include <LibCore/Instant.h>
 #include <LibLimits/SlotFold.h>
 #include <LibLimits/TakeoverTiming.h>
@@ -25,7 +25,7 @@
 class slot_takeover
 {
 public:
-  slot_takeover(instance_life aSelf, takeover_timing aTiming);
+  slot_takeover(instance_identity aSelf, takeover_timing aTiming);
 
   /// The platform's list, as last read; it may lag.
   void OnInstanceList(instant aNow, std::span<instance_id const> aLive);
@@ -45,7 +45,7 @@
   [[nodiscard]] std::size_t Rank(slot_id aSlot, slot_fold const& aSlots) const;
   slot_claim MakeClaim(slot_id aSlot, log_offset aBase, log_offset aTail);
 
-  instance_life mSelf;
+  instance_identity mSelf;
   takeover_timing mTiming;
   bool mListed = false;
   /// When this instance first saw the list.
--- a/Libraries/LibLimits/TokenGrant.h
+++ b/Libraries/LibLimits/TokenGrant.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include <LibCore/Identifiers.h>
-#include <LibCore/InstanceLife.h>
+#include <LibCore/InstanceIdentity.h>
 #include <LibLimits/GrantResult.h>
 #include <LibLimits/LoanId.h>
 #include <LibRecords/SlotId.h>
@@ -13,7 +13,7 @@
 /// A home's answer to a token request.
 struct token_grant
 {
-  instance_life mTo;
+  instance_identity mTo;
   std::uint64_t mSequence = 0;
   workspace_id mWorkspace;
   slot_id mSlot;
--- a/Libraries/LibLimits/TokenRequest.h
+++ b/Libraries/LibLimits/TokenRequest.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include <LibCore/Identifiers.h>
-#include <LibCore/InstanceLife.h>
+#include <LibCore/InstanceIdentity.h>
 #include <LibCore/Instant.h>
 #include <LibRecords/SlotId.h>
 
@@ -12,7 +12,7 @@
 /// A borrower asks a home slot for tokens.
 struct token_request
 {
-  instance_life mFrom;
+  instance_identity mFrom;
   /// The borrower's number of the ask; the answers repeat it.
   std::uint64_t mSequence = 0;
   workspace_id mWorkspace;
--- a/Libraries/LibMembership/BackendMembership.cpp
+++ b/Libraries/LibMembership/BackendMembership.cpp
@@ -32,13 +32,14 @@
   server_state& known = found->second;
   if (known.mIncarnation && aReport.mIncarnation < *known.mIncarnation)
     return false;
-  bool const isNewLife = known.mIncarnation != aReport.mIncarnation;
-  bool const wasLeaving = !isNewLife && known.mState == member_state::Leaving;
+  bool const isNewIncarnation = known.mIncarnation != aReport.mIncarnation;
+  bool const wasLeaving =
+    !isNewIncarnation && known.mState == member_state::Leaving;
   // A life that is leaving stays so, also when reports cross.
   known = { .mIncarnation = aReport.mIncarnation,
             .mState = wasLeaving ? member_state::Leaving : aReport.mState,
             .mReportedAt = aNow };
-  return isNewLife;
+  return isNewIncarnation;
 }
 
 std::optional<incarnation>
@@ -67,14 +68,15 @@
 }
 
 backend_standing
-backend_membership::StandingAtDispatch(backend_server_id const& aServer,
-                                       std::optional<incarnation> aChosenLife,
-                                       instant aNow) const
+backend_membership::StandingAtDispatch(
+  backend_server_id const& aServer,
+  std::optional<incarnation> aChosenIncarnation,
+  instant aNow) const
 {
   backend_standing const standing = Standing(aServer, aNow);
   if (standing != backend_standing::Usable)
     return standing;
-  if (aChosenLife && IncarnationOf(aServer) != aChosenLife)
+  if (aChosenIncarnation && IncarnationOf(aServer) != aChosenIncarnation)
     return backend_standing::Restarted;
   return backend_standing::Usable;
 }
--- a/Libraries/LibMembership/BackendMembership.h
+++ b/Libraries/LibMembership/BackendMembership.h
@@ -39,7 +39,7 @@
   /// usable and in the life for which it was chosen.
   [[nodiscard]] backend_standing StandingAtDispatch(
     backend_server_id const& aServer,
-    std::optional<incarnation> aChosenLife,
+    std::optional<incarnation> aChosenIncarnation,
     instant aNow) const;
 
 private:
--- a/Libraries/LibMembership/CallerAddresses.cpp
+++ b/Libraries/LibMembership/CallerAddresses.cpp
@@ -13,7 +13,7 @@
              std::vector<caller_address>& aAddresses)
 {
   for (member const& chosen : aMembers.first(aCount))
-    aAddresses.push_back({ .mInstance = chosen.mLife.mInstance,
+    aAddresses.push_back({ .mInstance = chosen.mIdentity.mInstance,
                            .mAddress = chosen.mCallers,
                            .mFailureDomain = chosen.mFailureDomain });
 }
--- a/Libraries/LibMembership/Freshness.cpp
+++ b/Libraries/LibMembership/Freshness.cpp
@@ -75,13 +75,13 @@
 }
 
 void
-freshness::OnPeerSign(peer_sign const& aSign, instant aNow)
+freshness::OnPeerSign(peer_observation const& aSign, instant aNow)
 {
   if (aSign.mEchoedSentAt > aNow || aSign.mEchoedSentAt < mNotBefore)
     return;
   Raise(mPeerSigns, aSign.mPeer, aSign.mEchoedSentAt);
   Raise(mDomainSigns, aSign.mDomain, aSign.mEchoedSentAt);
-  for (domain_sign const& sign : aSign.mDomains)
+  for (domain_observation const& sign : aSign.mDomains)
     Raise(mDomainSigns, sign.mDomain, aSign.mEchoedSentAt - sign.mAge);
   if (aSign.mTail)
     OnTailRead(aSign.mTail->mTail, aSign.mEchoedSentAt - aSign.mTail->mAge);
@@ -120,19 +120,19 @@
   return isMost ? freshness_verdict::LogOut : freshness_verdict::CutOff;
 }
 
-std::optional<tail_sign>
+std::optional<tail_observation>
 freshness::Tail(instant aNow) const
 {
   if (!mReading || mReading->mAt < mNotBefore)
     return std::nullopt;
-  return tail_sign{ .mTail = mReading->mTail,
-                    .mAge = Age(mReading->mAt, aNow) };
+  return tail_observation{ .mTail = mReading->mTail,
+                           .mAge = Age(mReading->mAt, aNow) };
 }
 
-std::vector<domain_sign>
+std::vector<domain_observation>
 freshness::DomainSigns(instant aNow) const
 {
-  std::vector<domain_sign> signs;
+  std::vector<domain_observation> signs;
   for (auto const& [domain, at] : mDomainSigns) {
     if (IsRecent(at, aNow))
       signs.push_back({ .mDomain = domain, .mAge = Age(at, aNow) });
@@ -154,7 +154,7 @@
                          std::span<instance_id const> aLinked,
                          instant aNow) const
 {
-  instance_id const& name = aMember.mLife.mInstance;
+  instance_id const& name = aMember.mIdentity.mInstance;
   if (name == mSelf)
     return true;
   if (std::find(aLinked.begin(), aLinked.end(), name) != aLinked.end())
--- a/Libraries/LibMembership/Freshness.h
+++ b/Libraries/LibMembership/Freshness.h
@@ -3,12 +3,12 @@
 #include <LibCore/Identifiers.h>
 #include <LibCore/Instant.h>
 #include <LibMembership/DomainCode.h>
-#include <LibMembership/DomainSign.h>
+#include <LibMembership/DomainObservation.h>
 #include <LibMembership/FreshnessOptions.h>
 #include <LibMembership/FreshnessVerdict.h>
 #include <LibMembership/Member.h>
-#include <LibMembership/PeerSign.h>
-#include <LibMembership/TailSign.h>
+#include <LibMembership/PeerObservation.h>
+#include <LibMembership/TailObservation.h>
 
 #include <map>
 #include <optional>
@@ -38,7 +38,7 @@
   /// A peer gave a sign that echoes a message of this instance. Its word on
   /// the tail counts as this instance's own reads do. An echo of what this
   /// instance can't have sent is dropped.
-  void OnPeerSign(peer_sign const& aSign, instant aNow);
+  void OnPeerSign(peer_observation const& aSign, instant aNow);
 
   /// To be called several times within the pause limit.
   void OnTick(instant aNow);
@@ -52,10 +52,10 @@
 
   /// What to tell peers of the tail; nothing before the first reading and
   /// after a pause.
-  [[nodiscard]] std::optional<tail_sign> Tail(instant aNow) const;
+  [[nodiscard]] std::optional<tail_observation> Tail(instant aNow) const;
 
   /// What to tell peers of failure domains.
-  [[nodiscard]] std::vector<domain_sign> DomainSigns(instant aNow) const;
+  [[nodiscard]] std::vector<domain_observation> DomainSigns(instant aNow) const;
 
 private:
   /// Where the tail was at a moment.
--- a/Libraries/LibMembership/Member.h
+++ b/Libraries/LibMembership/Member.h
@@ -2,7 +2,7 @@
 
 #include <LibCore/Endpoint.h>
 #include <LibCore/Identifiers.h>
-#include <LibCore/InstanceLife.h>
+#include <LibCore/InstanceIdentity.h>
 #include <LibMembership/MemberState.h>
 
 namespace lycheeseam {
@@ -10,7 +10,7 @@
 /// One instance as this one knows it.
 struct member
 {
-  instance_life mLife;
+  instance_identity mIdentity;
   failure_domain mFailureDomain;
   endpoint mCallers;
   endpoint mPeers;
--- a/Libraries/LibMembership/MemberTable.cpp
+++ b/Libraries/LibMembership/MemberTable.cpp
@@ -5,7 +5,7 @@
 namespace lycheeseam {
 
 member_table::member_table(member aSelf, member_table_options aOptions)
-  : mSelf(aSelf.mLife.mInstance)
+  : mSelf(aSelf.mIdentity.mInstance)
   , mOptions(aOptions)
 {
   mEntries.emplace(mSelf, entry{ .mMember = std::move(aSelf) });
@@ -18,7 +18,7 @@
     known.mIsListed = false;
   for (member const& listed : aListed) {
     Learn(listed);
-    mEntries.at(listed.mLife.mInstance).mIsListed = true;
+    mEntries.at(listed.mIdentity.mInstance).mIsListed = true;
   }
   DropUnlisted(aNow);
 }
@@ -27,7 +27,7 @@
 member_table::OnPeerUp(member const& aPeer)
 {
   Learn(aPeer);
-  entry* const known = FindLife(aPeer.mLife);
+  entry* const known = FindIdentity(aPeer.mIdentity);
   if (!known)
     return;
   known->mIsLinked = true;
@@ -35,9 +35,9 @@
 }
 
 void
-member_table::OnPeerDown(instance_life const& aPeer, instant aNow)
+member_table::OnPeerDown(instance_identity const& aPeer, instant aNow)
 {
-  entry* const known = FindLife(aPeer);
+  entry* const known = FindIdentity(aPeer);
   if (!known)
     return;
   known->mIsLinked = false;
@@ -45,9 +45,9 @@
 }
 
 void
-member_table::OnLeaving(instance_life const& aPeer)
+member_table::OnLeaving(instance_identity const& aPeer)
 {
-  entry* const known = FindLife(aPeer);
+  entry* const known = FindIdentity(aPeer);
   if (known)
     known->mMember.mState = member_state::Leaving;
 }
@@ -79,20 +79,20 @@
   return usable;
 }
 
-std::optional<instance_life>
-member_table::LifeOf(instance_id const& aInstance) const
+std::optional<instance_identity>
+member_table::IdentityOf(instance_id const& aInstance) const
 {
   auto const found = mEntries.find(aInstance);
   if (found == mEntries.end())
     return std::nullopt;
-  return found->second.mMember.mLife;
+  return found->second.mMember.mIdentity;
 }
 
 member_table::entry*
-member_table::FindLife(instance_life const& aLife)
+member_table::FindIdentity(instance_identity const& aIdentity)
 {
-  auto const found = mEntries.find(aLife.mInstance);
-  if (found == mEntries.end() || found->second.mMember.mLife != aLife)
+  auto const found = mEntries.find(aIdentity.mInstance);
+  if (found == mEntries.end() || found->second.mMember.mIdentity != aIdentity)
     return nullptr;
   return &found->second;
 }
@@ -102,16 +102,16 @@
 void
 member_table::Learn(member const& aMember)
 {
-  instance_id const& name = aMember.mLife.mInstance;
+  instance_id const& name = aMember.mIdentity.mInstance;
   auto const [found, isNew] =
     mEntries.try_emplace(name, entry{ .mMember = aMember });
   if (isNew || name == mSelf)
     return;
   entry& known = found->second;
-  incarnation const newest = known.mMember.mLife.mIncarnation;
-  if (aMember.mLife.mIncarnation > newest)
+  incarnation const newest = known.mMember.mIdentity.mIncarnation;
+  if (aMember.mIdentity.mIncarnation > newest)
     known = { .mMember = aMember, .mIsListed = known.mIsListed };
-  else if (aMember.mLife.mIncarnation == newest &&
+  else if (aMember.mIdentity.mIncarnation == newest &&
            aMember.mState == member_state::Leaving)
     known.mMember.mState = member_state::Leaving;
 }
--- a/Libraries/LibMembership/MemberTable.h
+++ b/Libraries/LibMembership/MemberTable.h
@@ -28,10 +28,10 @@
   void OnPeerUp(member const& aPeer);
 
   /// No link to the peer is up any more.
-  void OnPeerDown(instance_life const& aPeer, instant aNow);
+  void OnPeerDown(instance_identity const& aPeer, instant aNow);
 
   /// The peer said that it is leaving.
-  void OnLeaving(instance_life const& aPeer);
+  void OnLeaving(instance_identity const& aPeer);
 
   /// This instance is leaving.
   void OnSelfLeaving();
@@ -43,8 +43,8 @@
   /// had a link that ended and hasn't come back.
   [[nodiscard]] std::vector<member> Usable() const;
 
-  /// The newest life known of an instance.
-  [[nodiscard]] std::optional<instance_life> LifeOf(
+  /// The identity of the newest known incarnation of an instance.
+  [[nodiscard]] std::optional<instance_identity> IdentityOf(
     instance_id const& aInstance) const;
 
 private:
@@ -57,7 +57,7 @@
     std::optional<instant> mLostAt;
   };
 
-  [[nodiscard]] entry* FindLife(instance_life const& aLife);
+  [[nodiscard]] entry* FindIdentity(instance_identity const& aIdentity);
   void Learn(member const& aMember);
   void DropUnlisted(instant aNow);
 
--- a/Libraries/LibMembership/PeerSign.h
+++ b/Libraries/LibMembership/PeerObservation.h
@@ -3,8 +3,8 @@
 #include <LibCore/Identifiers.h>
 #include <LibCore/Instant.h>
 #include <LibMembership/DomainCode.h>
-#include <LibMembership/DomainSign.h>
-#include <LibMembership/TailSign.h>
+#include <LibMembership/DomainObservation.h>
+#include <LibMembership/TailObservation.h>
 
 #include <optional>
 #include <vector>
@@ -13,7 +13,7 @@
 
 /// What a peer said of itself, of the log and of failure domains, after it had
 /// received a message that this instance sent.
-struct peer_sign
+struct peer_observation
 {
   instance_id mPeer;
   domain_code mDomain;
@@ -22,8 +22,8 @@
   /// long, and no two clocks are compared.
   instant mEchoedSentAt;
   /// What the peer knew of the log's tail when it spoke.
-  std::optional<tail_sign> mTail;
-  std::vector<domain_sign> mDomains;
+  std::optional<tail_observation> mTail;
+  std::vector<domain_observation> mDomains;
 };
 
 }
--- a/Libraries/LibMembership/PeerSelection.cpp
+++ b/Libraries/LibMembership/PeerSelection.cpp
@@ -56,7 +56,7 @@
 DomainOf(instance_id const& aSelf, std::span<member const> aMembers)
 {
   for (member const& candidate : aMembers) {
-    if (candidate.mLife.mInstance == aSelf)
+    if (candidate.mIdentity.mInstance == aSelf)
       return candidate.mFailureDomain;
   }
   return {};
@@ -73,9 +73,9 @@
   std::vector<instance_id> fleet;
   std::vector<instance_id> domain;
   for (member const& candidate : aMembers) {
-    fleet.push_back(candidate.mLife.mInstance);
+    fleet.push_back(candidate.mIdentity.mInstance);
     if (candidate.mFailureDomain == ownDomain)
-      domain.push_back(candidate.mLife.mInstance);
+      domain.push_back(candidate.mIdentity.mInstance);
   }
   std::set<instance_id> chosen;
   if (fleet.size() <= aOptions.mAllToAll) {
--- a/Libraries/LibMembership/TailSign.h
+++ b/Libraries/LibMembership/TailObservation.h
@@ -7,12 +7,12 @@
 namespace lycheeseam {
 
 /// Where the log's tail was, and how long ago it was read there by anyone.
-struct tail_sign
+struct tail_observation
 {
   log_offset mTail;
   std::chrono::milliseconds mAge{ 0 };
 
-  bool operator==(tail_sign const&) const = default;
+  bool operator==(tail_observation const&) const = default;
 };
 
 }
--- a/Libraries/LibOnce/ClaimBatcher.cpp
+++ b/Libraries/LibOnce/ClaimBatcher.cpp
@@ -7,7 +7,7 @@
 
 namespace lycheeseam {
 
-claim_batcher::claim_batcher(instance_life aSelf, batch_limits aLimits)
+claim_batcher::claim_batcher(instance_identity aSelf, batch_limits aLimits)
   : mSelf(std::move(aSelf))
   , mLimits(aLimits)
 {
--- a/Libraries/LibOnce/ClaimBatcher.h
+++ b/Libraries/LibOnce/ClaimBatcher.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include <LibCore/InstanceLife.h>
+#include <LibCore/InstanceIdentity.h>
 #include <LibOnce/BatchLimits.h>
 #include <LibRecords/LogEntry.h>
 
@@ -18,7 +18,7 @@
 class claim_batcher
 {
 public:
-  claim_batcher(instance_life aSelf, batch_limits aLimits);
+  claim_batcher(instance_identity aSelf, batch_limits aLimits);
 
   /// Adds a claim to the next append.
   void Add(instant aNow, request_claim aClaim);
@@ -48,7 +48,7 @@
                            std::optional<instant> const& aSince,
                            std::size_t aEntries) const;
 
-  instance_life mSelf;
+  instance_identity mSelf;
   batch_limits mLimits;
   std::uint64_t mBatches = 0;
   std::vector<request_claim> mClaims;
--- a/Libraries/LibOnce/ClaimFold.cpp
+++ b/Libraries/LibOnce/ClaimFold.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 template<typename Batch>
-instance_life
+instance_identity
 OwnerOf(Batch const& aBatch)
 {
   return { .mInstance = aBatch.mOrigin.mInstance,
@@ -100,7 +100,7 @@
 
 void
 claim_fold::ApplyOutcome(log_offset aOffset,
-                         instance_life const& aOwner,
+                         instance_identity const& aOwner,
                          request_outcome const& aOutcome)
 {
   claim_identity const identity{ .mOwner = aOwner,
--- a/Libraries/LibOnce/ClaimFold.h
+++ b/Libraries/LibOnce/ClaimFold.h
@@ -61,7 +61,7 @@
 
   void ApplyClaims(log_offset aOffset, request_claim_batch const& aBatch);
   void ApplyOutcome(log_offset aOffset,
-                    instance_life const& aOwner,
+                    instance_identity const& aOwner,
                     request_outcome const& aOutcome);
   void KeepOutcome(log_offset aOffset,
                    claim_entry& aEntry,
--- a/Libraries/LibOnce/ClaimIdentity.h
+++ b/Libraries/LibOnce/ClaimIdentity.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include <LibCore/InstanceLife.h>
+#include <LibCore/InstanceIdentity.h>
 #include <LibRecords/ClaimNumber.h>
 
 namespace lycheeseam {
@@ -8,7 +8,7 @@
 /// One claim of one life of an instance.
 struct claim_identity
 {
-  instance_life mOwner;
+  instance_identity mOwner;
   claim_number mNumber;
 
   auto operator<=>(claim_identity const&) const = default;
--- a/Libraries/LibOnce/CrashReport.h
+++ b/Libraries/LibOnce/CrashReport.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include <LibCore/Digest.h>
-#include <LibCore/ServerLife.h>
+#include <LibCore/ServerIdentity.h>
 
 #include <vector>
 
@@ -11,7 +11,7 @@
 /// running on it.
 struct crash_report
 {
-  server_life mServer;
+  server_identity mServer;
   std::vector<digest> mFingerprints;
 
   bool operator==(crash_report const&) const = default;
--- a/Libraries/LibOnce/OnceGate.cpp
+++ b/Libraries/LibOnce/OnceGate.cpp
@@ -13,7 +13,7 @@
 
 }
 
-once_gate::once_gate(instance_life aSelf,
+once_gate::once_gate(instance_identity aSelf,
                      batch_limits aLimits,
                      claim_window aWindow)
   : mSelf(aSelf)
--- a/Libraries/LibOnce/OnceGate.h
+++ b/Libraries/LibOnce/OnceGate.h
@@ -18,7 +18,9 @@
 class once_gate
 {
 public:
-  once_gate(instance_life aSelf, batch_limits aLimits, claim_window aWindow);
+  once_gate(instance_identity aSelf,
+            batch_limits aLimits,
+            claim_window aWindow);
 
   /// A request has come. Its decision comes through TakeDecisions, at once or
   /// when the log has shown who may run it.
@@ -92,7 +94,7 @@
                claim_entry const* aEntry);
   [[nodiscard]] bool Expire(instant aNow, waiting_request const& aWaiting);
 
-  instance_life mSelf;
+  instance_identity mSelf;
   claim_fold mFold;
   claim_batcher mBatcher;
   claim_number mLastClaim;
@@ -160,10 +162,11 @@
                   Liveness const& aIsAlive)
 {
   if (!IsOwn(aWaiting, aEntry)) {
-    instance_life const& owner = aEntry.mClaim.mOwner;
-    bool const isEarlierLife = owner.mInstance == mSelf.mInstance &&
-                               owner.mIncarnation < mSelf.mIncarnation;
-    return SettleByOwner(aWaiting, aEntry, !isEarlierLife && aIsAlive(owner));
+    instance_identity const& owner = aEntry.mClaim.mOwner;
+    bool const isEarlierIncarnation = owner.mInstance == mSelf.mInstance &&
+                                      owner.mIncarnation < mSelf.mIncarnation;
+    return SettleByOwner(
+      aWaiting, aEntry, !isEarlierIncarnation && aIsAlive(owner));
   }
   // Past its deadline the request is refused as not run, and released.
   if (aNow >= aWaiting.mRequest.mDeadline)
--- a/Libraries/LibOnce/OwnerLiveness.h
+++ b/Libraries/LibOnce/OwnerLiveness.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include <LibCore/InstanceLife.h>
+#include <LibCore/InstanceIdentity.h>
 
 #include <concepts>
 
@@ -10,10 +10,10 @@
 /// only changes what a repeat is told: nothing is run again on its strength.
 template<typename Liveness>
 concept owner_liveness = requires(Liveness const& aLiveness,
-                                  instance_life const& aLife)
+                                  instance_identity const& aIdentity)
 {
   {
-    aLiveness(aLife)
+    aLiveness(aIdentity)
     } -> std::convertible_to<bool>;
 };
 
--- a/Libraries/LibOnce/PermitHome.cpp
+++ b/Libraries/LibOnce/PermitHome.cpp
@@ -36,7 +36,7 @@
   auto const ended = found->second.find(aEnd.mRequest);
   if (ended == found->second.end())
     return std::nullopt;
-  server_life const server = ended->second.mServer;
+  server_identity const server = ended->second.mServer;
   found->second.erase(ended);
   if (found->second.empty())
     mRunning.erase(found);
@@ -78,11 +78,11 @@
 }
 
 void
-permit_home::OnInstanceGone(instant aNow, instance_life const& aLife)
+permit_home::OnInstanceGone(instant aNow, instance_identity const& aIdentity)
 {
   for (auto& [fingerprint, running] : mRunning) {
     for (auto& [request, permit] : running) {
-      if (permit.mOwner == aLife && !permit.mOrphanedUntil)
+      if (permit.mOwner == aIdentity && !permit.mOrphanedUntil)
         permit.mOrphanedUntil = aNow + mTiming.mOrphanTime;
     }
   }
--- a/Libraries/LibOnce/PermitHome.h
+++ b/Libraries/LibOnce/PermitHome.h
@@ -54,7 +54,7 @@
 
   /// The lives of instances that are over leave their permits running for a
   /// while: a server may still be at work for them.
-  void OnInstanceGone(instant aNow, instance_life const& aLife);
+  void OnInstanceGone(instant aNow, instance_identity const& aIdentity);
 
   /// Drops the permits whose time is over.
   void Expire(instant aNow);
@@ -62,8 +62,8 @@
 private:
   struct permit
   {
-    instance_life mOwner;
-    server_life mServer;
+    instance_identity mOwner;
+    server_identity mServer;
     std::optional<instant> mOrphanedUntil;
   };
 
--- a/Libraries/LibOnce/PoisonTable.cpp
+++ b/Libraries/LibOnce/PoisonTable.cpp
@@ -16,7 +16,7 @@
   }
 }
 
-std::set<server_life>
+std::set<server_identity>
 poison_table::Crashes(instant aNow, digest const& aFingerprint) const
 {
   auto const found = mSuspicions.find(aFingerprint);
--- a/Libraries/LibOnce/PoisonTable.h
+++ b/Libraries/LibOnce/PoisonTable.h
@@ -27,8 +27,9 @@
   void OnCrash(instant aNow, crash_report const& aReport);
 
   /// The lives of servers that count against a fingerprint.
-  [[nodiscard]] std::set<server_life> Crashes(instant aNow,
-                                              digest const& aFingerprint) const;
+  [[nodiscard]] std::set<server_identity> Crashes(
+    instant aNow,
+    digest const& aFingerprint) const;
 
   /// Whether the fingerprint is refused everywhere.
   [[nodiscard]] bool IsRefused(instant aNow, digest const& aFingerprint) const
@@ -45,7 +46,7 @@
 private:
   struct suspicion
   {
-    std::set<server_life> mCrashes;
+    std::set<server_identity> mCrashes;
     instant mUntil;
   };
 
--- a/Libraries/LibOnce/RunAsk.h
+++ b/Libraries/LibOnce/RunAsk.h
@@ -1,19 +1,19 @@
 #pragma once
 
 #include <LibCore/Digest.h>
-#include <LibCore/InstanceLife.h>
-#include <LibCore/ServerLife.h>
+#include <LibCore/InstanceIdentity.h>
+#include <LibCore/ServerIdentity.h>
 
 namespace lycheeseam {
 
 /// Asks a fingerprint's home for a permit to run it on a server.
 struct run_ask
 {
-  instance_life mFrom;
+  instance_identity mFrom;
   request_id mRequest;
   /// The digest of workspace and body.
   digest mFingerprint;
-  server_life mServer;
+  server_identity mServer;
   /// The server on which the fingerprint may run without a permit; every
   /// instance names the same one.
   backend_server_id mFallback;
--- a/Libraries/LibOnce/RunDecision.h
+++ b/Libraries/LibOnce/RunDecision.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include <LibCore/ServerLife.h>
+#include <LibCore/ServerIdentity.h>
 
 #include <optional>
 
@@ -10,7 +10,7 @@
 struct run_decision
 {
   request_id mRequest;
-  std::optional<server_life> mServer;
+  std::optional<server_identity> mServer;
 
   bool operator==(run_decision const&) const = default;
 };
--- a/Libraries/LibOnce/RunGuard.cpp
+++ b/Libraries/LibOnce/RunGuard.cpp
@@ -142,7 +142,7 @@
 
 void
 run_guard::Decide(run_request const& aRequest,
-                  std::optional<server_life> aServer)
+                  std::optional<server_identity> aServer)
 {
   run_ask running = aRequest.mAsk;
   if (aServer) {
--- a/Libraries/LibOnce/RunGuard.h
+++ b/Libraries/LibOnce/RunGuard.h
@@ -65,7 +65,8 @@
   };
 
   void Ask(instant aNow, asking_request& aAsking);
-  void Decide(run_request const& aRequest, std::optional<server_life> aServer);
+  void Decide(run_request const& aRequest,
+              std::optional<server_identity> aServer);
   [[nodiscard]] bool Wake(instant aNow,
                           asking_request& aAsking,
                           poison_table const& aTable);
--- a/Libraries/LibOnce/RunRequest.h
+++ b/Libraries/LibOnce/RunRequest.h
@@ -10,7 +10,7 @@
 {
   run_ask mAsk;
   /// The fallback server's life as this instance knows it.
-  server_life mFallback;
+  server_identity mFallback;
   instant mDeadline;
 };
 
--- a/Libraries/LibOpenAi/ParseCompletion.cpp
+++ b/Libraries/LibOpenAi/ParseCompletion.cpp
@@ -104,17 +104,18 @@
 
 }
 
-completion_terms
+completion_parameters
 ParseCompletion(std::string_view aBody)
 {
   json const body = ParseObject(aBody);
   auto const model = body.find("model");
   if (model == body.end() || !model->is_string())
     throw invalid_input("\"model\" is missing or not a text");
-  return completion_terms{ .mModel = model_name{ model->get<std::string>() },
-                           .mPrompt = PromptOf(body),
-                           .mDelivery = DeliveryOf(body),
-                           .mMaxTokens = MaxTokensOf(body) };
+  return completion_parameters{ .mModel =
+                                  model_name{ model->get<std::string>() },
+                                .mPrompt = PromptOf(body),
+                                .mDelivery = DeliveryOf(body),
+                                .mMaxTokens = MaxTokensOf(body) };
 }
 
 }
--- a/Libraries/LibOpenAi/ParseCompletion.h
+++ b/Libraries/LibOpenAi/ParseCompletion.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include <LibRequest/CompletionTerms.h>
+#include <LibRequest/CompletionParameters.h>
 
 #include <string_view>
 
@@ -8,7 +8,7 @@
 
 /// Reads what routing needs from a completion request's JSON body. Throws
 /// invalid_input naming the field at fault.
-completion_terms
+completion_parameters
 ParseCompletion(std::string_view aBody);
 
 }
--- a/Libraries/LibOrders/Lease.h
+++ b/Libraries/LibOrders/Lease.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include <LibCore/InstanceLife.h>
+#include <LibCore/InstanceIdentity.h>
 #include <LibCore/Instant.h>
 #include <LibRecords/ProposalId.h>
 
@@ -9,7 +9,7 @@
 /// The grant under which orders may be given to one pool's engines.
 struct lease
 {
-  instance_life mHolder;
+  instance_identity mHolder;
   proposal_id mProposal;
   /// The grant's offset: the fencing number of its orders.
   log_offset mGrant;
--- a/Libraries/LibOrders/LeaseHolder.cpp
+++ b/Libraries/LibOrders/LeaseHolder.cpp
@@ -5,7 +5,7 @@
 
 namespace lycheeseam {
 
-lease_holder::lease_holder(instance_life aSelf,
+lease_holder::lease_holder(instance_identity aSelf,
                            pool_name aPool,
                            lease_timing aTiming)
   : mSelf(std::move(aSelf))
--- a/Libraries/LibOrders/LeaseHolder.h
+++ b/Libraries/LibOrders/LeaseHolder.h
@@ -17,7 +17,7 @@
 class lease_holder
 {
 public:
-  lease_holder(instance_life aSelf, pool_name aPool, lease_timing aTiming);
+  lease_holder(instance_identity aSelf, pool_name aPool, lease_timing aTiming);
 
   /// Follows the pool's lease; call it after each entry that was folded.
   void OnLease(instant aNow, lease_fold const& aLeases);
@@ -39,7 +39,7 @@
   [[nodiscard]] instant NextGrantAt(fencing_support aFencing,
                                     std::uint32_t aRank) const;
 
-  instance_life mSelf;
+  instance_identity mSelf;
   pool_name mPool;
   lease_timing mTiming;
   std::optional<lease> mLease;
--- a/Libraries/LibPeer/DecodeBudgetMessage.cpp
+++ b/Libraries/LibPeer/DecodeBudgetMessage.cpp
@@ -4,11 +4,11 @@
 
 namespace {
 
-instance_life
-DecodeLife(wire::Life const& aLife)
+instance_identity
+DecodeIdentity(wire::Life const& aIdentity)
 {
-  return { .mInstance = instance_id{ aLife.instance()->str() },
-           .mIncarnation = incarnation{ aLife.incarnation() } };
+  return { .mInstance = instance_id{ aIdentity.instance()->str() },
+           .mIncarnation = incarnation{ aIdentity.incarnation() } };
 }
 
 // A number that names no result gives no tokens.
@@ -35,7 +35,7 @@
 budget_message
 DecodeBudgetMessage(wire::TokenRequest const& aTable)
 {
-  return token_request{ .mFrom = DecodeLife(*aTable.from()),
+  return token_request{ .mFrom = DecodeIdentity(*aTable.from()),
                         .mSequence = aTable.sequence(),
                         .mWorkspace = workspace_id{ aTable.workspace()->str() },
                         .mSlot = slot_id{ aTable.slot() },
@@ -46,7 +46,7 @@
 budget_message
 DecodeBudgetMessage(wire::TokenGrant const& aTable)
 {
-  return token_grant{ .mTo = DecodeLife(*aTable.to()),
+  return token_grant{ .mTo = DecodeIdentity(*aTable.to()),
                       .mSequence = aTable.sequence(),
                       .mWorkspace = workspace_id{ aTable.workspace()->str() },
                       .mSlot = slot_id{ aTable.slot() },
@@ -81,16 +81,15 @@
 budget_message
 DecodeBudgetMessage(wire::StandingProbe const& aTable)
 {
-  return standing_probe{ .mFrom = DecodeLife(*aTable.from()),
-                         .mSentAt =
-                           instant{ duration{ aTable.sent_at_ns() } } };
+  return quorum_probe{ .mFrom = DecodeIdentity(*aTable.from()),
+                       .mSentAt = instant{ duration{ aTable.sent_at_ns() } } };
 }
 
 budget_message
 DecodeBudgetMessage(wire::StandingWord const& aTable)
 {
-  standing_word word{ .mFrom = DecodeLife(*aTable.from()),
-                      .mTo = DecodeLife(*aTable.to()),
+  quorum_answer word{ .mFrom = DecodeIdentity(*aTable.from()),
+                      .mTo = DecodeIdentity(*aTable.to()),
                       .mProbeSentAt =
                         instant{ duration{ aTable.probe_sent_at_ns() } },
                       .mFolded = log_offset{ aTable.folded() } };
--- a/Libraries/LibPeer/DecodeFleetMessage.cpp
+++ b/Libraries/LibPeer/DecodeFleetMessage.cpp
@@ -24,15 +24,15 @@
   return static_cast<report_scope>(aValue);
 }
 
-std::vector<spent_units>
+std::vector<workspace_usage>
 DecodeUnits(
   flatbuffers::Vector<flatbuffers::Offset<wire::SpentUnits>> const& aTables)
 {
-  std::vector<spent_units> units;
+  std::vector<workspace_usage> units;
   for (wire::SpentUnits const* const table : aTables)
     units.push_back({ .mWorkspace = workspace_id{ table->workspace()->str() },
                       .mUnits = table->units(),
-                      .mAsked = table->asked() });
+                      .mDemand = table->asked() });
   return units;
 }
 
@@ -53,11 +53,11 @@
   for (wire::SeenWeights const* const seen : *aTable.weights())
     report.mWeights.push_back(
       { .mServer = backend_server_id{ seen->server()->str() },
-        .mLife = incarnation{ seen->incarnation() },
+        .mIncarnation = incarnation{ seen->incarnation() },
         .mModel = model_name{ seen->model()->str() },
         .mVersion = seen->version() });
   for (flatbuffers::String const* const server : *aTable.turning())
-    report.mTurning.emplace_back(server->str());
+    report.mUpdating.emplace_back(server->str());
   for (wire::PrefixHolder const* const holder : *aTable.holders())
     report.mHolders.push_back(
       { .mKey = holder->key(),
--- a/Libraries/LibPeer/DecodePeerMessage.cpp
+++ b/Libraries/LibPeer/DecodePeerMessage.cpp
@@ -47,8 +47,8 @@
   if (aBeat.echo_ns() != 0)
     beat.mEcho = instant{ duration{ aBeat.echo_ns() } };
   if (aBeat.tail() != 0)
-    beat.mTail = tail_sign{ .mTail = log_offset{ aBeat.tail() },
-                            .mAge = Milliseconds(aBeat.tail_age_ms()) };
+    beat.mTail = tail_observation{ .mTail = log_offset{ aBeat.tail() },
+                                   .mAge = Milliseconds(aBeat.tail_age_ms()) };
   for (wire::DomainSign const* const sign : *aBeat.domains())
     beat.mDomains.push_back({ .mDomain = domain_code{ sign->domain() },
                               .mAge = Milliseconds(sign->age_ms()) });
--- a/Libraries/LibPeer/EncodeBudgetMessage.cpp
+++ b/Libraries/LibPeer/EncodeBudgetMessage.cpp
@@ -38,7 +38,7 @@
   {
     return MakeBody(wire::Body::TokenRequest,
                     wire::CreateTokenRequest(mBuilder,
-                                             Life(aRequest.mFrom),
+                                             Identity(aRequest.mFrom),
                                              aRequest.mSequence,
                                              Text(aRequest.mWorkspace.Text()),
                                              aRequest.mSlot.Value(),
@@ -50,7 +50,7 @@
   {
     return MakeBody(wire::Body::TokenGrant,
                     wire::CreateTokenGrant(mBuilder,
-                                           Life(aGrant.mTo),
+                                           Identity(aGrant.mTo),
                                            aGrant.mSequence,
                                            Text(aGrant.mWorkspace.Text()),
                                            aGrant.mSlot.Value(),
@@ -85,16 +85,16 @@
                               mBuilder.CreateVectorOfStructs(spent)));
   }
 
-  encoded_body operator()(standing_probe const& aProbe)
+  encoded_body operator()(quorum_probe const& aProbe)
   {
     return MakeBody(
       wire::Body::StandingProbe,
       wire::CreateStandingProbe(mBuilder,
-                                Life(aProbe.mFrom),
+                                Identity(aProbe.mFrom),
                                 aProbe.mSentAt.time_since_epoch().count()));
   }
 
-  encoded_body operator()(standing_word const& aWord)
+  encoded_body operator()(quorum_answer const& aWord)
   {
     std::vector<std::uint64_t> slots;
     for (slot_id const slot : aWord.mSlots)
@@ -105,8 +105,8 @@
     return MakeBody(
       wire::Body::StandingWord,
       wire::CreateStandingWord(mBuilder,
-                               Life(aWord.mFrom),
-                               Life(aWord.mTo),
+                               Identity(aWord.mFrom),
+                               Identity(aWord.mTo),
                                aWord.mProbeSentAt.time_since_epoch().count(),
                                mBuilder.CreateVector(slots),
                                aWord.mFolded.Value(),
@@ -119,10 +119,11 @@
     return mBuilder.CreateString(aText);
   }
 
-  flatbuffers::Offset<wire::Life> Life(instance_life const& aLife)
+  flatbuffers::Offset<wire::Life> Identity(instance_identity const& aIdentity)
   {
-    return wire::CreateLife(
-      mBuilder, Text(aLife.mInstance.Text()), aLife.mIncarnation.Value());
+    return wire::CreateLife(mBuilder,
+                            Text(aIdentity.mInstance.Text()),
+                            aIdentity.mIncarnation.Value());
   }
 
   flatbuffers::FlatBufferBuilder& mBuilder;
--- a/Libraries/LibPeer/EncodeFleetMessage.cpp
+++ b/Libraries/LibPeer/EncodeFleetMessage.cpp
@@ -30,15 +30,15 @@
     for (crash_count const& crash : aReport.mCrashes)
       crashes.emplace_back(crash.mFingerprint, crash.mCount);
     std::vector<flatbuffers::Offset<wire::SeenWeights>> weights;
-    for (seen_weights const& seen : aReport.mWeights)
+    for (observed_weights const& seen : aReport.mWeights)
       weights.push_back(wire::CreateSeenWeights(mBuilder,
                                                 Text(seen.mServer.Text()),
-                                                seen.mLife.Value(),
+                                                seen.mIncarnation.Value(),
                                                 Text(seen.mModel.Text()),
                                                 seen.mVersion));
     std::vector<flatbuffers::Offset<flatbuffers::String>> turning;
-    turning.reserve(aReport.mTurning.size());
-    for (backend_server_id const& server : aReport.mTurning)
+    turning.reserve(aReport.mUpdating.size());
+    for (backend_server_id const& server : aReport.mUpdating)
       turning.push_back(Text(server.Text()));
     std::vector<flatbuffers::Offset<wire::PrefixHolder>> holders;
     for (prefix_holder const& holder : aReport.mHolders)
@@ -95,13 +95,13 @@
     return mBuilder.CreateString(aText);
   }
 
-  units_vector Units(std::vector<spent_units> const& aUnits)
+  units_vector Units(std::vector<workspace_usage> const& aUnits)
   {
     std::vector<flatbuffers::Offset<wire::SpentUnits>> tables;
     tables.reserve(aUnits.size());
-    for (spent_units const& units : aUnits)
+    for (workspace_usage const& units : aUnits)
       tables.push_back(wire::CreateSpentUnits(
-        mBuilder, Text(units.mWorkspace.Text()), units.mUnits, units.mAsked));
+        mBuilder, Text(units.mWorkspace.Text()), units.mUnits, units.mDemand));
     return mBuilder.CreateVector(tables);
   }
 
--- a/Libraries/LibPeer/EncodePeerMessage.cpp
+++ b/Libraries/LibPeer/EncodePeerMessage.cpp
@@ -49,10 +49,10 @@
   encoded_body operator()(peer_heartbeat const& aBeat)
   {
     std::vector<wire::DomainSign> domains;
-    for (domain_sign const& sign : aBeat.mDomains)
+    for (domain_observation const& sign : aBeat.mDomains)
       domains.emplace_back(static_cast<std::uint32_t>(sign.mDomain.Value()),
                            ShortMilliseconds(sign.mAge));
-    tail_sign const tail = aBeat.mTail.value_or(tail_sign{});
+    tail_observation const tail = aBeat.mTail.value_or(tail_observation{});
     instant const echo = aBeat.mEcho.value_or(instant{});
     return MakeBody(
       wire::Body::Heartbeat,
--- a/Libraries/LibPeer/HelloCodec.cpp
+++ b/Libraries/LibPeer/HelloCodec.cpp
@@ -5,22 +5,23 @@
 flatbuffers::Offset<wire::Hello>
 EncodeHello(flatbuffers::FlatBufferBuilder& aBuilder, peer_hello const& aHello)
 {
-  return wire::CreateHello(aBuilder,
-                           aHello.mVersion,
-                           aBuilder.CreateString(aHello.mLife.mInstance.Text()),
-                           aHello.mLife.mIncarnation.Value(),
-                           aBuilder.CreateString(aHello.mFailureDomain.Text()),
-                           aBuilder.CreateString(aHello.mCallers.Text()),
-                           aBuilder.CreateString(aHello.mPeers.Text()),
-                           aHello.mCapacity);
+  return wire::CreateHello(
+    aBuilder,
+    aHello.mVersion,
+    aBuilder.CreateString(aHello.mIdentity.mInstance.Text()),
+    aHello.mIdentity.mIncarnation.Value(),
+    aBuilder.CreateString(aHello.mFailureDomain.Text()),
+    aBuilder.CreateString(aHello.mCallers.Text()),
+    aBuilder.CreateString(aHello.mPeers.Text()),
+    aHello.mCapacity);
 }
 
 peer_hello
 DecodeHello(wire::Hello const& aTable)
 {
   return { .mVersion = aTable.version(),
-           .mLife = { .mInstance = instance_id{ aTable.instance()->str() },
-                      .mIncarnation = incarnation{ aTable.incarnation() } },
+           .mIdentity = { .mInstance = instance_id{ aTable.instance()->str() },
+                          .mIncarnation = incarnation{ aTable.incarnation() } },
            .mFailureDomain = failure_domain{ aTable.failure_domain()->str() },
            .mCallers = endpoint::Parse(aTable.callers()->string_view()),
            .mPeers = endpoint::Parse(aTable.peers()->string_view()),
--- a/Libraries/LibPeer/HelloDecision.h
+++ b/Libraries/LibPeer/HelloDecision.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include <LibCore/InstanceLife.h>
+#include <LibCore/InstanceIdentity.h>
 #include <LibPeer/LinkCloseReason.h>
 #include <LibPeer/LinkNumber.h>
 
@@ -16,7 +16,7 @@
   /// Another link that gives way to this one.
   std::optional<link_number> mReplaced;
   /// The life that ended, when the link is from a newer one.
-  std::optional<instance_life> mEnded;
+  std::optional<instance_identity> mEnded;
   /// The peer's life had no link before.
   bool mIsNew = false;
 };
--- a/Libraries/LibPeer/LinkTable.cpp
+++ b/Libraries/LibPeer/LinkTable.cpp
@@ -14,7 +14,7 @@
 
 }
 
-link_table::link_table(instance_life aSelf)
+link_table::link_table(instance_identity aSelf)
   : mSelf(std::move(aSelf))
 {
 }
@@ -26,38 +26,39 @@
 {
   if (aHello.mVersion != kPeerProtocolVersion)
     return Refuse(link_close_reason::WrongVersion);
-  instance_id const& peer = aHello.mLife.mInstance;
+  instance_id const& peer = aHello.mIdentity.mInstance;
   if (peer == mSelf.mInstance)
     return Refuse(link_close_reason::Self);
   peer_state& state = mPeers[peer];
-  if (aHello.mLife.mIncarnation < state.mNewest)
+  if (aHello.mIdentity.mIncarnation < state.mNewest)
     return Refuse(link_close_reason::OlderIncarnation);
 
   hello_decision decision;
-  if (state.mLink && aHello.mLife.mIncarnation == state.mNewest) {
+  if (state.mLink && aHello.mIdentity.mIncarnation == state.mNewest) {
     if (!GivesWay(state, aDirection, peer))
       return Refuse(link_close_reason::Duplicate);
   } else {
     decision.mIsNew = true;
     if (state.mLink)
       decision.mEnded =
-        instance_life{ .mInstance = peer, .mIncarnation = state.mNewest };
+        instance_identity{ .mInstance = peer, .mIncarnation = state.mNewest };
   }
   decision.mReplaced = state.mLink;
-  state = { .mNewest = aHello.mLife.mIncarnation,
+  state = { .mNewest = aHello.mIdentity.mIncarnation,
             .mLink = aLink,
             .mDirection = aDirection };
   return decision;
 }
 
-std::optional<instance_life>
+std::optional<instance_identity>
 link_table::OnClosed(link_number aLink)
 {
   for (auto& [peer, state] : mPeers) {
     if (state.mLink != aLink)
       continue;
     state.mLink.reset();
-    return instance_life{ .mInstance = peer, .mIncarnation = state.mNewest };
+    return instance_identity{ .mInstance = peer,
+                              .mIncarnation = state.mNewest };
   }
   return std::nullopt;
 }
--- a/Libraries/LibPeer/LinkTable.h
+++ b/Libraries/LibPeer/LinkTable.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include <LibCore/Identifiers.h>
-#include <LibCore/InstanceLife.h>
+#include <LibCore/InstanceIdentity.h>
 #include <LibPeer/HelloDecision.h>
 #include <LibPeer/LinkDirection.h>
 #include <LibPeer/LinkNumber.h>
@@ -18,7 +18,7 @@
 class link_table
 {
 public:
-  explicit link_table(instance_life aSelf);
+  explicit link_table(instance_identity aSelf);
 
   /// A link's hello arrived.
   hello_decision OnHello(link_number aLink,
@@ -26,7 +26,7 @@
                          peer_hello const& aHello);
 
   /// A link ended; the life that has no link any more, if any.
-  std::optional<instance_life> OnClosed(link_number aLink);
+  std::optional<instance_identity> OnClosed(link_number aLink);
 
   /// The link to an instance, if one is up.
   [[nodiscard]] std::optional<link_number> Find(instance_id const& aPeer) const;
@@ -46,7 +46,7 @@
                               link_direction aDirection,
                               instance_id const& aPeer) const;
 
-  instance_life mSelf;
+  instance_identity mSelf;
   // FIXME: An instance that never comes back stays here; its name and number
   // are kept so that a late message of its last life stays known as one.
   std::map<instance_id, peer_state> mPeers;
--- a/Libraries/LibPeer/PeerHandler.h
+++ b/Libraries/LibPeer/PeerHandler.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include <LibCore/InstanceLife.h>
+#include <LibCore/InstanceIdentity.h>
 #include <LibPeer/LinkCloseReason.h>
 #include <LibPeer/PeerHello.h>
 #include <LibPeer/PeerMessage.h>
@@ -12,7 +12,7 @@
 template<typename Handler>
 concept peer_handler = requires(Handler& aHandler,
                                 peer_hello const& aHello,
-                                instance_life const& aPeer,
+                                instance_identity const& aPeer,
                                 peer_message& aMessage,
                                 link_close_reason aReason)
 {
--- a/Libraries/LibPeer/PeerHeartbeat.h
+++ b/Libraries/LibPeer/PeerHeartbeat.h
@@ -2,8 +2,8 @@
 
 #include <LibCore/Identifiers.h>
 #include <LibCore/Instant.h>
-#include <LibMembership/DomainSign.h>
-#include <LibMembership/TailSign.h>
+#include <LibMembership/DomainObservation.h>
+#include <LibMembership/TailObservation.h>
 #include <LibPeer/HeartbeatAnswer.h>
 
 #include <optional>
@@ -24,8 +24,8 @@
   /// The sender has applied every entry up to this one.
   log_offset mApplied;
   /// What the sender knows of the log's tail.
-  std::optional<tail_sign> mTail;
-  std::vector<domain_sign> mDomains;
+  std::optional<tail_observation> mTail;
+  std::vector<domain_observation> mDomains;
 
   bool operator==(peer_heartbeat const&) const = default;
 };
--- a/Libraries/LibPeer/PeerHello.h
+++ b/Libraries/LibPeer/PeerHello.h
@@ -2,7 +2,7 @@
 
 #include <LibCore/Endpoint.h>
 #include <LibCore/Identifiers.h>
-#include <LibCore/InstanceLife.h>
+#include <LibCore/InstanceIdentity.h>
 #include <LibPeer/PeerProtocol.h>
 
 #include <cstdint>
@@ -13,7 +13,7 @@
 struct peer_hello
 {
   std::uint32_t mVersion = kPeerProtocolVersion;
-  instance_life mLife;
+  instance_identity mIdentity;
   failure_domain mFailureDomain;
   /// Where callers reach the sender.
   endpoint mCallers;
--- a/Libraries/LibPeer/PeerHub.h
+++ b/Libraries/LibPeer/PeerHub.h
@@ -98,7 +98,7 @@
     std::optional<endpoint> mDialled;
     instant mOpenedAt{};
     /// Who the peer is, from its hello on.
-    std::optional<instance_life> mPeer;
+    std::optional<instance_identity> mPeer;
     /// When the peer sent its last heartbeat, by its own clock.
     std::optional<instant> mPeerSentAt;
     Supervisor mSupervisor;
--- a/Libraries/LibPeer/PeerHubImplementation.h
+++ b/Libraries/LibPeer/PeerHubImplementation.h
@@ -31,7 +31,7 @@
   , mAcceptor(aContext)
   , mTimer(aContext)
   , mDials(aOptions.mDial, aOptions.mSeed)
-  , mTable(mSelf.mLife)
+  , mTable(mSelf.mIdentity)
 {
   // Checked here, where a handler that holds its hub is a complete type.
   static_assert(peer_handler<Handler>);
@@ -235,7 +235,7 @@
   mLinks.erase(found);
   std::erase_if(mLinkByAddress,
                 [aLink](auto const& aEntry) { return aEntry.second == aLink; });
-  std::optional<instance_life> const ended = mTable.OnClosed(aLink);
+  std::optional<instance_identity> const ended = mTable.OnClosed(aLink);
   if (ended)
     mHandler.OnPeerDown(*ended, aReason);
 }
--- a/Libraries/LibPeer/PeerHubMessages.h
+++ b/Libraries/LibPeer/PeerHubMessages.h
@@ -90,7 +90,7 @@
     mTable.OnHello(aLink, aState.mDirection, aHello);
   if (decision.mRefused)
     return CloseLink(aLink, *decision.mRefused);
-  aState.mPeer = aHello.mLife;
+  aState.mPeer = aHello.mIdentity;
   mLinkByAddress.insert_or_assign(aHello.mPeers, aLink);
   if (aState.mDialled)
     mDials.OnUp(*aState.mDialled);
@@ -111,7 +111,7 @@
                                                 peer_message& aMessage)
 {
   // The handler may close links, so the peer's life is copied first.
-  instance_life const peer = *aState.mPeer;
+  instance_identity const peer = *aState.mPeer;
   peer_heartbeat const* const beat = std::get_if<peer_heartbeat>(&aMessage);
   if (beat)
     aState.mPeerSentAt = beat->mSentAt;
--- a/Libraries/LibPlacement/BlockEntry.h
+++ b/Libraries/LibPlacement/BlockEntry.h
@@ -6,13 +6,13 @@
 
 namespace lycheeseam {
 
-/// One block on one life of a backend server. The hash holds the workspace and
-/// the weights, the life number the server and its incarnation.
+/// One block on one incarnation of a backend server. The hash holds the
+/// workspace and the weights, the server number the server and its incarnation.
 struct block_entry
 {
   block_hash mBlock;
   /// Zero in an empty place.
-  std::uint32_t mLife = 0;
+  std::uint32_t mServerNumber = 0;
   /// When the block was last confirmed, in ticks of the map's clock.
   std::uint32_t mSeenTick : 30 = 0;
   /// The engine's event stream named the block.
