--- a/Libraries/LibPlacement/BlockMap.cpp
+++ b/Libraries/LibPlacement/BlockMap.cpp
@@ -49,36 +49,36 @@
 block_map::OnIncarnation(backend_server_id const& aServer,
                          incarnation aIncarnation)
 {
-  auto const [found, isNew] = mLives.try_emplace(aServer);
-  cached_life& life = found->second;
-  if (!isNew && life.mIncarnation >= aIncarnation)
+  auto const [found, isNew] = mServers.try_emplace(aServer);
+  cached_server& server = found->second;
+  if (!isNew && server.mIncarnation >= aIncarnation)
     return;
   // A new number orphans all entries of older lives at once; they are never
   // found again, and full buckets reuse their places.
-  life = cached_life{ .mIncarnation = aIncarnation,
-                      .mNumber = ++mLastLifeNumber,
-                      .mRetention = mOptions.mFirstRetention };
+  server = cached_server{ .mIncarnation = aIncarnation,
+                          .mNumber = ++mLastServerNumber,
+                          .mRetention = mOptions.mFirstRetention };
 }
 
 void
 block_map::OnGone(backend_server_id const& aServer)
 {
-  mLives.erase(aServer);
+  mServers.erase(aServer);
 }
 
 void
 block_map::OnEvents(cache_event_batch const& aBatch, instant aNow)
 {
-  cached_life* const life = LifeOf(aBatch.mServer, aBatch.mIncarnation);
-  if (life == nullptr)
+  cached_server* const server = ServerOf(aBatch.mServer, aBatch.mIncarnation);
+  if (server == nullptr)
     return;
-  bool const isNewest = FollowSequence(*life, aBatch, aNow);
+  bool const isNewest = FollowSequence(*server, aBatch, aNow);
   for (cache_event const& event : aBatch.mEvents) {
     // A batch that was passed may say "stored" of what a newer one removed.
     if (event.mChange == cache_change::Removed)
-      mTable.Erase(event.mBlock, life->mNumber);
+      mTable.Erase(event.mBlock, server->mNumber);
     else if (isNewest)
-      RememberEvent(*life, event.mBlock, aNow);
+      RememberEvent(*server, event.mBlock, aNow);
   }
 }
 
@@ -88,12 +88,12 @@
                   std::span<block_hash const> aBlocks,
                   instant aNow)
 {
-  cached_life const* const life = LifeOf(aServer, aIncarnation);
-  if (life == nullptr)
+  cached_server const* const server = ServerOf(aServer, aIncarnation);
+  if (server == nullptr)
     return;
-  RememberSend(*life, aBlocks, aNow);
+  RememberSend(*server, aBlocks, aNow);
   for (block_hash const block : aBlocks)
-    RememberRequest(*life, block, aNow);
+    RememberRequest(*server, block, aNow);
 }
 
 void
@@ -103,15 +103,15 @@
                     token_count aCachedTokens,
                     instant aNow)
 {
-  cached_life* const life = LifeOf(aServer, aIncarnation);
-  if (life == nullptr)
+  cached_server* const server = ServerOf(aServer, aIncarnation);
+  if (server == nullptr)
     return;
   std::size_t const cachedBlocks =
     static_cast<std::size_t>(aCachedTokens / kBlockTokens);
-  LearnRetention(*life, aBlocks, cachedBlocks);
+  LearnRetention(*server, aBlocks, cachedBlocks);
   // Whatever was missing has been computed, so the server now holds it all.
   for (block_hash const block : aBlocks)
-    RememberRequest(*life, block, aNow);
+    RememberRequest(*server, block, aNow);
 }
 
 known_prefix
@@ -121,8 +121,8 @@
                 instant aNow) const
 {
   known_prefix known{ .mServer = aServer, .mIncarnation = aIncarnation };
-  auto const found = mLives.find(aServer);
-  if (found == mLives.end() || found->second.mIncarnation != aIncarnation)
+  auto const found = mServers.find(aServer);
+  if (found == mServers.end() || found->second.mIncarnation != aIncarnation)
     return known;
   known.mTokens =
     static_cast<token_count>(CountTrusted(found->second, aBlocks, aNow)) *
@@ -130,100 +130,102 @@
   return known;
 }
 
-cached_life*
-block_map::LifeOf(backend_server_id const& aServer, incarnation aIncarnation)
+cached_server*
+block_map::ServerOf(backend_server_id const& aServer, incarnation aIncarnation)
 {
   OnIncarnation(aServer, aIncarnation);
-  cached_life& life = mLives.at(aServer);
-  return life.mIncarnation == aIncarnation ? &life : nullptr;
+  cached_server& server = mServers.at(aServer);
+  return server.mIncarnation == aIncarnation ? &server : nullptr;
 }
 
 bool
-block_map::FollowSequence(cached_life& aLife,
+block_map::FollowSequence(cached_server& aServer,
                           cache_event_batch const& aBatch,
                           instant aNow)
 {
-  if (aLife.mHasSeenEvents && aBatch.mLast < aLife.mNextSequence)
+  if (aServer.mHasSeenEvents && aBatch.mLast < aServer.mNextSequence)
     return false;
-  if (aLife.mHasSeenEvents && aBatch.mFirst > aLife.mNextSequence)
-    aLife.mLastGapTick = TickOf(aNow);
-  aLife.mNextSequence = aBatch.mLast.Next();
-  aLife.mHasSeenEvents = true;
-  aLife.mLastBatchAt = aNow;
+  if (aServer.mHasSeenEvents && aBatch.mFirst > aServer.mNextSequence)
+    aServer.mLastGapTick = TickOf(aNow);
+  aServer.mNextSequence = aBatch.mLast.Next();
+  aServer.mHasSeenEvents = true;
+  aServer.mLastBatchAt = aNow;
   return true;
 }
 
 void
-block_map::RememberEvent(cached_life const& aLife,
+block_map::RememberEvent(cached_server const& aServer,
                          block_hash aBlock,
                          instant aNow)
 {
-  block_entry entry = EntryOf(aLife, aBlock);
+  block_entry entry = EntryOf(aServer, aBlock);
   // The batch that shows a gap comes in the gap's own tick, yet is after it.
-  entry.mSeenTick = std::max(TickOf(aNow), aLife.mLastGapTick + 1);
+  entry.mSeenTick = std::max(TickOf(aNow), aServer.mLastGapTick + 1);
   entry.mIsFromEvent = 1;
   mTable.Put(entry);
 }
 
 void
-block_map::RememberRequest(cached_life const& aLife,
+block_map::RememberRequest(cached_server const& aServer,
                            block_hash aBlock,
                            instant aNow)
 {
-  block_entry entry = EntryOf(aLife, aBlock);
+  block_entry entry = EntryOf(aServer, aBlock);
   entry.mSeenTick = std::max<std::uint32_t>(TickOf(aNow), entry.mSeenTick);
   entry.mIsFromRequest = 1;
   mTable.Put(entry);
 }
 
 block_entry
-block_map::EntryOf(cached_life const& aLife, block_hash aBlock) const
+block_map::EntryOf(cached_server const& aServer, block_hash aBlock) const
 {
-  block_entry const* const found = mTable.Find(aBlock, aLife.mNumber);
+  block_entry const* const found = mTable.Find(aBlock, aServer.mNumber);
   if (found == nullptr)
-    return block_entry{ .mBlock = aBlock, .mLife = aLife.mNumber };
+    return block_entry{ .mBlock = aBlock, .mServerNumber = aServer.mNumber };
   block_entry entry = *found;
-  if (entry.mSeenTick <= aLife.mLastGapTick)
+  if (entry.mSeenTick <= aServer.mLastGapTick)
     entry.mIsFromEvent = 0;
   return entry;
 }
 
 bool
-block_map::IsTrusted(cached_life const& aLife,
+block_map::IsTrusted(cached_server const& aServer,
                      block_hash aBlock,
                      instant aNow) const
 {
-  block_entry const entry = EntryOf(aLife, aBlock);
-  bool const isFollowed = aNow - aLife.mLastBatchAt <= mOptions.mLongestSilence;
+  block_entry const entry = EntryOf(aServer, aBlock);
+  bool const isFollowed =
+    aNow - aServer.mLastBatchAt <= mOptions.mLongestSilence;
   if (entry.mIsFromEvent == 1 && isFollowed)
     return true;
   return entry.mIsFromRequest == 1 &&
-         aNow - TimeOf(entry.mSeenTick) <= aLife.mRetention;
+         aNow - TimeOf(entry.mSeenTick) <= aServer.mRetention;
 }
 
 std::size_t
-block_map::CountTrusted(cached_life const& aLife,
+block_map::CountTrusted(cached_server const& aServer,
                         std::span<block_hash const> aBlocks,
                         instant aNow) const
 {
   // Halving would step over a hole that a removal left. Most servers hold no
   // block of a prompt, and for them the first look ends the search.
-  auto const end = std::ranges::find_if_not(
-    aBlocks, [&](block_hash aBlock) { return IsTrusted(aLife, aBlock, aNow); });
+  auto const end = std::ranges::find_if_not(aBlocks, [&](block_hash aBlock) {
+    return IsTrusted(aServer, aBlock, aNow);
+  });
   return static_cast<std::size_t>(end - aBlocks.begin());
 }
 
 std::uint64_t
-block_map::SendKey(cached_life const& aLife,
+block_map::SendKey(cached_server const& aServer,
                    std::span<block_hash const> aBlocks)
 {
   // Equal prompts under way at once share a key; the later one replaces the
   // earlier, which costs one lesson.
-  return aBlocks.back().Value() ^ aLife.mNumber;
+  return aBlocks.back().Value() ^ aServer.mNumber;
 }
 
 void
-block_map::RememberSend(cached_life const& aLife,
+block_map::RememberSend(cached_server const& aServer,
                         std::span<block_hash const> aBlocks,
                         instant aNow)
 {
@@ -234,18 +236,18 @@
   pending_send send{ .mSentTick = TickOf(aNow) };
   send.mSeenTicks.reserve(aBlocks.size());
   for (block_hash const block : aBlocks)
-    send.mSeenTicks.push_back(EntryOf(aLife, block).mSeenTick);
-  mPending.insert_or_assign(SendKey(aLife, aBlocks), std::move(send));
+    send.mSeenTicks.push_back(EntryOf(aServer, block).mSeenTick);
+  mPending.insert_or_assign(SendKey(aServer, aBlocks), std::move(send));
 }
 
 void
-block_map::LearnRetention(cached_life& aLife,
+block_map::LearnRetention(cached_server& aServer,
                           std::span<block_hash const> aBlocks,
                           std::size_t aCachedBlocks)
 {
   if (aBlocks.empty())
     return;
-  auto const found = mPending.find(SendKey(aLife, aBlocks));
+  auto const found = mPending.find(SendKey(aServer, aBlocks));
   if (found == mPending.end())
     return;
   pending_send const send = std::move(found->second);
@@ -258,13 +260,14 @@
   std::size_t const cached = std::min(aCachedBlocks, send.mSeenTicks.size());
   // The last block that was still there, and the first that was gone.
   if (cached > 0 && send.mSeenTicks[cached - 1] != 0 &&
-      ageOf(cached - 1) > aLife.mRetention)
-    aLife.mRetention = MovedTowards(aLife.mRetention, ageOf(cached - 1));
+      ageOf(cached - 1) > aServer.mRetention)
+    aServer.mRetention = MovedTowards(aServer.mRetention, ageOf(cached - 1));
   if (cached < send.mSeenTicks.size() && send.mSeenTicks[cached] != 0 &&
-      ageOf(cached) < aLife.mRetention)
-    aLife.mRetention = MovedTowards(aLife.mRetention, ageOf(cached));
-  aLife.mRetention = std::clamp(
-    aLife.mRetention, mOptions.mShortestRetention, mOptions.mLongestRetention);
+      ageOf(cached) < aServer.mRetention)
+    aServer.mRetention = MovedTowards(aServer.mRetention, ageOf(cached));
+  aServer.mRetention = std::clamp(aServer.mRetention,
+                                  mOptions.mShortestRetention,
+                                  mOptions.mLongestRetention);
 }
 
 }
--- a/Libraries/LibPlacement/BlockMap.h
+++ b/Libraries/LibPlacement/BlockMap.h
@@ -3,7 +3,7 @@
 #include <LibPlacement/BlockMapOptions.h>
 #include <LibPlacement/BlockTable.h>
 #include <LibPlacement/CacheEventBatch.h>
-#include <LibPlacement/CachedLife.h>
+#include <LibPlacement/CachedServer.h>
 #include <LibPlacement/KnownPrefix.h>
 #include <LibPlacement/PendingSend.h>
 
@@ -57,39 +57,41 @@
   [[nodiscard]] std::size_t Bytes() const { return mTable.Bytes(); }
 
 private:
-  cached_life* LifeOf(backend_server_id const& aServer,
-                      incarnation aIncarnation);
+  cached_server* ServerOf(backend_server_id const& aServer,
+                          incarnation aIncarnation);
   /// Counts a batch's sequence; false for one that newer ones passed.
-  static bool FollowSequence(cached_life& aLife,
+  static bool FollowSequence(cached_server& aServer,
                              cache_event_batch const& aBatch,
                              instant aNow);
-  void RememberEvent(cached_life const& aLife, block_hash aBlock, instant aNow);
-  void RememberRequest(cached_life const& aLife,
+  void RememberEvent(cached_server const& aServer,
+                     block_hash aBlock,
+                     instant aNow);
+  void RememberRequest(cached_server const& aServer,
                        block_hash aBlock,
                        instant aNow);
   /// What is known of a block, less what a gap has put in doubt.
-  [[nodiscard]] block_entry EntryOf(cached_life const& aLife,
+  [[nodiscard]] block_entry EntryOf(cached_server const& aServer,
                                     block_hash aBlock) const;
-  [[nodiscard]] bool IsTrusted(cached_life const& aLife,
+  [[nodiscard]] bool IsTrusted(cached_server const& aServer,
                                block_hash aBlock,
                                instant aNow) const;
-  [[nodiscard]] std::size_t CountTrusted(cached_life const& aLife,
+  [[nodiscard]] std::size_t CountTrusted(cached_server const& aServer,
                                          std::span<block_hash const> aBlocks,
                                          instant aNow) const;
   /// The key of a prompt that is under way to a server's life.
-  static std::uint64_t SendKey(cached_life const& aLife,
+  static std::uint64_t SendKey(cached_server const& aServer,
                                std::span<block_hash const> aBlocks);
-  void RememberSend(cached_life const& aLife,
+  void RememberSend(cached_server const& aServer,
                     std::span<block_hash const> aBlocks,
                     instant aNow);
-  void LearnRetention(cached_life& aLife,
+  void LearnRetention(cached_server& aServer,
                       std::span<block_hash const> aBlocks,
                       std::size_t aCachedBlocks);
 
   block_map_options mOptions;
   block_table mTable;
-  std::unordered_map<backend_server_id, cached_life> mLives;
-  std::uint32_t mLastLifeNumber = 0;
+  std::unordered_map<backend_server_id, cached_server> mServers;
+  std::uint32_t mLastServerNumber = 0;
   std::unordered_map<std::uint64_t, pending_send> mPending;
 };
 
--- a/Libraries/LibPlacement/BlockShard.cpp
+++ b/Libraries/LibPlacement/BlockShard.cpp
@@ -16,7 +16,7 @@
   return kName;
 }
 
-constexpr incarnation kStoreLife{ 1 };
+constexpr incarnation kStoreIncarnation{ 1 };
 
 // The first guess of how long the store keeps unused pieces.
 constexpr duration kStoreRetention = std::chrono::seconds{ 60 };
@@ -49,7 +49,7 @@
   if (answer.mKnown.size() > kMaxHolders)
     answer.mKnown.resize(kMaxHolders);
   token_count const stored =
-    mStore.Find(StoreName(), kStoreLife, aLookup.mBlocks, aNow).mTokens;
+    mStore.Find(StoreName(), kStoreIncarnation, aLookup.mBlocks, aNow).mTokens;
   // The store knows whole pieces only.
   answer.mStoredTokens = stored / kPieceTokens * kPieceTokens;
   return answer;
@@ -58,7 +58,7 @@
 void
 block_shard::OnStored(std::span<block_hash const> aBlocks, instant aNow)
 {
-  mStore.OnAnswer(StoreName(), kStoreLife, aBlocks, 0, aNow);
+  mStore.OnAnswer(StoreName(), kStoreIncarnation, aBlocks, 0, aNow);
 }
 
 void
--- a/Libraries/LibPlacement/BlockTable.cpp
+++ b/Libraries/LibPlacement/BlockTable.cpp
@@ -11,20 +11,22 @@
 constexpr std::size_t kMeantPerBucket = 5;
 
 // An odd constant with well-mixed bits (2^64 divided by the golden ratio).
-constexpr std::uint64_t kLifeMix = 0x9E3779B97F4A7C15;
+constexpr std::uint64_t kServerMix = 0x9E3779B97F4A7C15;
 
 bool
-HasKey(block_entry const& aEntry, block_hash aBlock, std::uint32_t aLife)
+HasKey(block_entry const& aEntry,
+       block_hash aBlock,
+       std::uint32_t aServerNumber)
 {
-  return aEntry.mBlock == aBlock && aEntry.mLife == aLife;
+  return aEntry.mBlock == aBlock && aEntry.mServerNumber == aServerNumber;
 }
 
 /// Empty places sort before all others, then the oldest.
 bool
 IsCheaperToLose(block_entry const& aLeft, block_entry const& aRight)
 {
-  if ((aLeft.mLife == 0) != (aRight.mLife == 0))
-    return aLeft.mLife == 0;
+  if ((aLeft.mServerNumber == 0) != (aRight.mServerNumber == 0))
+    return aLeft.mServerNumber == 0;
   return aLeft.mSeenTick < aRight.mSeenTick;
 }
 
@@ -36,10 +38,10 @@
 }
 
 block_entry const*
-block_table::Find(block_hash aBlock, std::uint32_t aLife) const
+block_table::Find(block_hash aBlock, std::uint32_t aServerNumber) const
 {
-  for (block_entry const& entry : mBuckets[BucketOf(aBlock, aLife)]) {
-    if (HasKey(entry, aBlock, aLife))
+  for (block_entry const& entry : mBuckets[BucketOf(aBlock, aServerNumber)]) {
+    if (HasKey(entry, aBlock, aServerNumber))
       return &entry;
   }
   return nullptr;
@@ -48,9 +50,9 @@
 void
 block_table::Put(block_entry aEntry)
 {
-  bucket& places = mBuckets[BucketOf(aEntry.mBlock, aEntry.mLife)];
+  bucket& places = mBuckets[BucketOf(aEntry.mBlock, aEntry.mServerNumber)];
   auto place = std::ranges::find_if(places, [&](block_entry const& aOther) {
-    return HasKey(aOther, aEntry.mBlock, aEntry.mLife);
+    return HasKey(aOther, aEntry.mBlock, aEntry.mServerNumber);
   });
   if (place == places.end())
     place = std::ranges::min_element(places, IsCheaperToLose);
@@ -58,10 +60,10 @@
 }
 
 void
-block_table::Erase(block_hash aBlock, std::uint32_t aLife)
+block_table::Erase(block_hash aBlock, std::uint32_t aServerNumber)
 {
-  for (block_entry& entry : mBuckets[BucketOf(aBlock, aLife)]) {
-    if (HasKey(entry, aBlock, aLife))
+  for (block_entry& entry : mBuckets[BucketOf(aBlock, aServerNumber)]) {
+    if (HasKey(entry, aBlock, aServerNumber))
       entry = block_entry{};
   }
 }
@@ -73,9 +75,10 @@
 }
 
 std::size_t
-block_table::BucketOf(block_hash aBlock, std::uint32_t aLife) const
+block_table::BucketOf(block_hash aBlock, std::uint32_t aServerNumber) const
 {
-  std::uint64_t const mixed = (aBlock.Value() ^ (aLife * kLifeMix)) * kLifeMix;
+  std::uint64_t const mixed =
+    (aBlock.Value() ^ (aServerNumber * kServerMix)) * kServerMix;
   // The high half times the count maps evenly without a division.
   return static_cast<std::size_t>((mixed >> 32U) * mBuckets.size() >> 32U);
 }
--- a/Libraries/LibPlacement/BlockTable.h
+++ b/Libraries/LibPlacement/BlockTable.h
@@ -17,15 +17,15 @@
   /// aEntries is how many entries are meant to fit with few lost.
   explicit block_table(std::size_t aEntries);
 
-  /// The entry of a block on a life, or null.
+  /// The entry of a block on a numbered server, or null.
   [[nodiscard]] block_entry const* Find(block_hash aBlock,
-                                        std::uint32_t aLife) const;
+                                        std::uint32_t aServerNumber) const;
 
   /// Adds an entry, or replaces the one with its key.
   void Put(block_entry aEntry);
 
   /// Drops an entry if it is there.
-  void Erase(block_hash aBlock, std::uint32_t aLife);
+  void Erase(block_hash aBlock, std::uint32_t aServerNumber);
 
   /// The table's size in bytes; fixed from the start.
   [[nodiscard]] std::size_t Bytes() const;
@@ -35,7 +35,7 @@
   using bucket = std::array<block_entry, kPlaces>;
 
   [[nodiscard]] std::size_t BucketOf(block_hash aBlock,
-                                     std::uint32_t aLife) const;
+                                     std::uint32_t aServerNumber) const;
 
   std::vector<bucket> mBuckets;
 };
--- a/Libraries/LibPlacement/CachedLife.h
+++ b/Libraries/LibPlacement/CachedServer.h
@@ -7,11 +7,11 @@
 
 namespace lycheeseam {
 
-/// What a block_map keeps of the present life of one backend server.
-struct cached_life
+/// What a block_map keeps of the current incarnation of one backend server.
+struct cached_server
 {
   incarnation mIncarnation;
-  /// Marks this life's entries in the table; never used again.
+  /// Marks this incarnation's entries in the table; never used again.
   std::uint32_t mNumber = 0;
   /// The batch of events that should come next.
   event_sequence mNextSequence;
--- a/Libraries/LibPlatform/LogFollower.h
+++ b/Libraries/LibPlatform/LogFollower.h
@@ -136,7 +136,7 @@
   {
     if (mPhase != follower_phase::Searching)
       return true;
-    if (aResult.mStatus == read_status::BehindRetention)
+    if (aResult.mStatus == read_status::BeforeRetention)
       return Relocate();
     if (aResult.mStatus != read_status::Complete || aResult.mEntries.empty())
       return false;
@@ -196,7 +196,7 @@
     if (aResult.mRange.mTail < mState.Offset())
       return false;
     mRange = aResult.mRange;
-    if (aResult.mStatus == read_status::BehindRetention)
+    if (aResult.mStatus == read_status::BeforeRetention)
       return Relocate();
     for (log_entry const& entry : aResult.mEntries)
       ApplyNext(entry);
--- a/Libraries/LibPlatform/PlatformCalls.cpp
+++ b/Libraries/LibPlatform/PlatformCalls.cpp
@@ -118,7 +118,7 @@
     std::optional<log_range> const range = Parse<log_range>(aReply);
     if (!range)
       return {};
-    return { .mStatus = read_status::BehindRetention, .mRange = *range };
+    return { .mStatus = read_status::BeforeRetention, .mRange = *range };
   }
   std::optional<read_reply> const reply = ParseSuccess<read_reply>(aReply);
   if (!reply)
--- a/Libraries/LibPlatform/ReadStatus.h
+++ b/Libraries/LibPlatform/ReadStatus.h
@@ -8,7 +8,7 @@
   /// The entries are complete from the offset asked for.
   Complete,
   /// The offset asked for is older than what the log keeps.
-  BehindRetention,
+  BeforeRetention,
   /// The log can't be reached or refused to answer.
   Unavailable,
 };
--- a/Libraries/LibRequest/CallerRequest.h
+++ b/Libraries/LibRequest/CallerRequest.h
@@ -5,7 +5,7 @@
 #include <LibCore/Instant.h>
 #include <LibRequest/CallKind.h>
 #include <LibRequest/CallNumber.h>
-#include <LibRequest/CompletionTerms.h>
+#include <LibRequest/CompletionParameters.h>
 #include <LibRequest/HeaderField.h>
 
 #include <memory>
@@ -34,7 +34,7 @@
   std::optional<idempotency_key> mIdempotencyKey;
   /// W3C trace context as it came; empty when there was none.
   std::string mTraceparent;
-  completion_terms mCompletion;
+  completion_parameters mCompletion;
   instant mArrival;
 
   /// The target without its query.
--- a/Libraries/LibRequest/CompletionTerms.h
+++ b/Libraries/LibRequest/CompletionParameters.h
@@ -15,7 +15,7 @@
 };
 
 /// What routing needs to know of a completion request's body.
-struct completion_terms
+struct completion_parameters
 {
   model_name mModel;
   /// The prompt as one text, in the order in which engines cache it.
--- a/Libraries/LibRouter/ControlCore.cpp
+++ b/Libraries/LibRouter/ControlCore.cpp
@@ -26,7 +26,7 @@
 // Instances of one fleet start at different moments, so that the start also
 // keeps their random choices apart.
 std::uint64_t
-SeedOf(instance_life const& aSelf)
+SeedOf(instance_identity const& aSelf)
 {
   return std::hash<std::string>{}(aSelf.mInstance.Text()) ^
          aSelf.mIncarnation.Value();
@@ -36,7 +36,7 @@
 
 control_core::control_core(boost::asio::io_context& aContext,
                            daemon_settings const& aSettings,
-                           instance_life const& aSelf,
+                           instance_identity const& aSelf,
                            traffic& aTraffic,
                            published_views aViews)
   : mSettings(aSettings)
--- a/Libraries/LibRouter/ControlCore.h
+++ b/Libraries/LibRouter/ControlCore.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include <LibAdmin/AdminDesk.h>
+#include <LibAdmin/AdminCallHandler.h>
 #include <LibControl/RequestDirector.h>
 #include <LibCore/Published.h>
 #include <LibCore/SystemClock.h>
@@ -41,7 +41,7 @@
 public:
   control_core(boost::asio::io_context& aContext,
                daemon_settings const& aSettings,
-               instance_life const& aSelf,
+               instance_identity const& aSelf,
                traffic& aTraffic,
                published_views aViews);
   control_core(control_core const&) = delete;
@@ -69,8 +69,8 @@
 
   // peer_handler
   void OnPeerUp(peer_hello const& aHello);
-  void OnPeerMessage(instance_life const& aPeer, peer_message& aMessage);
-  void OnPeerDown(instance_life const& aPeer, link_close_reason aReason);
+  void OnPeerMessage(instance_identity const& aPeer, peer_message& aMessage);
+  void OnPeerDown(instance_identity const& aPeer, link_close_reason aReason);
 
 private:
   using platform = platform_client<asio_poster>;
@@ -99,15 +99,15 @@
                       proposal_callback const& aDone) const;
   void SetGauge(char const* aMetric, double aValue);
 
-  void HandlePeer(instance_life const& aPeer, peer_heartbeat& aHeartbeat);
-  void HandlePeer(instance_life const& aPeer, snapshot_request& aRequest);
-  void HandlePeer(instance_life const& aPeer, snapshot_answer& aAnswer);
-  void HandlePeer(instance_life const& aPeer, poison_notice& aNotice);
-  void HandlePeer(instance_life const& aPeer, drain_notice& aNotice);
-  void HandlePeer(instance_life const& aPeer, budget_message& aMessage);
+  void HandlePeer(instance_identity const& aPeer, peer_heartbeat& aHeartbeat);
+  void HandlePeer(instance_identity const& aPeer, snapshot_request& aRequest);
+  void HandlePeer(instance_identity const& aPeer, snapshot_answer& aAnswer);
+  void HandlePeer(instance_identity const& aPeer, poison_notice& aNotice);
+  void HandlePeer(instance_identity const& aPeer, drain_notice& aNotice);
+  void HandlePeer(instance_identity const& aPeer, budget_message& aMessage);
   // What this instance has no use for yet.
   template<typename Other>
-  void HandlePeer(instance_life const&, Other&)
+  void HandlePeer(instance_identity const&, Other&)
   {
   }
 
@@ -132,7 +132,7 @@
   metrics_store mMetrics;
   request_director<traffic, instance_status, rendezvous_policy> mDirector;
   peer_hub<control_core, quiet_link_supervisor, system_clock> mHub;
-  admin_desk<control_core> mAdmin;
+  admin_call_handler<control_core> mAdmin;
   std::set<workspace_id> mLimited;
   row_version mPublished;
   instant mNextTick{};
--- a/Libraries/LibRouter/ControlCoreMembers.cpp
+++ b/Libraries/LibRouter/ControlCoreMembers.cpp
@@ -31,7 +31,7 @@
   for (listed_instance const& listed : aList->mInstances) {
     bool const isLeaving = listed.mState == instance_state::Leaving;
     members.push_back(
-      { .mLife = { listed.mId, listed.mIncarnation },
+      { .mIdentity = { listed.mId, listed.mIncarnation },
         .mFailureDomain = listed.mFailureDomain,
         .mCallers = listed.mCallers,
         .mPeers = listed.mPeers,
@@ -56,9 +56,9 @@
   std::vector<peer_contact> contacts;
   for (member const& one : members) {
     bool const isChosen =
-      std::ranges::find(chosen, one.mLife.mInstance) != chosen.end();
+      std::ranges::find(chosen, one.mIdentity.mInstance) != chosen.end();
     if (isChosen)
-      contacts.push_back({ one.mPeers, one.mLife.mInstance });
+      contacts.push_back({ one.mPeers, one.mIdentity.mInstance });
   }
   for (endpoint const& peer : mSettings.mPeers) {
     bool const isKnown = std::ranges::any_of(
@@ -84,7 +84,7 @@
 {
   std::vector<member> const usable = mStatus.Members().Usable();
   bool const isLive = std::ranges::any_of(usable, [this](member const& aOne) {
-    return aOne.mLife == mStatus.Self();
+    return aOne.mIdentity == mStatus.Self();
   });
   return listed_instance{ .mId = mStatus.Self().mInstance,
                           .mIncarnation = mStatus.Self().mIncarnation,
--- a/Libraries/LibRouter/ControlCorePeers.cpp
+++ b/Libraries/LibRouter/ControlCorePeers.cpp
@@ -7,7 +7,7 @@
 peer_hello
 control_core::MakeHello() const
 {
-  return peer_hello{ .mLife = mStatus.Self(),
+  return peer_hello{ .mIdentity = mStatus.Self(),
                      .mFailureDomain = mSettings.mFailureDomain,
                      .mCallers = mSettings.mAdvertise.mCallers,
                      .mPeers = mSettings.mAdvertise.mPeers };
@@ -26,11 +26,11 @@
 void
 control_core::OnPeerUp(peer_hello const& aHello)
 {
-  mStatus.Members().OnPeerUp({ .mLife = aHello.mLife,
+  mStatus.Members().OnPeerUp({ .mIdentity = aHello.mIdentity,
                                .mFailureDomain = aHello.mFailureDomain,
                                .mCallers = aHello.mCallers,
                                .mPeers = aHello.mPeers });
-  RequestSnapshot(aHello.mLife.mInstance);
+  RequestSnapshot(aHello.mIdentity.mInstance);
   PublishInstances();
 }
 
@@ -43,7 +43,8 @@
 }
 
 void
-control_core::OnPeerMessage(instance_life const& aPeer, peer_message& aMessage)
+control_core::OnPeerMessage(instance_identity const& aPeer,
+                            peer_message& aMessage)
 {
   std::visit([this, &aPeer](auto& aAny) { HandlePeer(aPeer, aAny); }, aMessage);
   Pump();
@@ -51,14 +52,15 @@
 }
 
 void
-control_core::OnPeerDown(instance_life const& aPeer, link_close_reason)
+control_core::OnPeerDown(instance_identity const& aPeer, link_close_reason)
 {
   mStatus.Members().OnPeerDown(aPeer, mClock.Now());
   PublishInstances();
 }
 
 void
-control_core::HandlePeer(instance_life const& aPeer, peer_heartbeat& aHeartbeat)
+control_core::HandlePeer(instance_identity const& aPeer,
+                         peer_heartbeat& aHeartbeat)
 {
   if (aHeartbeat.mIsLeaving)
     mStatus.Members().OnLeaving(aPeer);
@@ -66,20 +68,21 @@
     return;
   domain_code domain{};
   for (member const& one : mStatus.Members().Members()) {
-    if (one.mLife == aPeer)
+    if (one.mIdentity == aPeer)
       domain = DomainCode(one.mFailureDomain);
   }
   mStatus.Knowledge().OnPeerSign(
-    peer_sign{ .mPeer = aPeer.mInstance,
-               .mDomain = domain,
-               .mEchoedSentAt = *aHeartbeat.mEcho,
-               .mTail = aHeartbeat.mTail,
-               .mDomains = std::move(aHeartbeat.mDomains) },
+    peer_observation{ .mPeer = aPeer.mInstance,
+                      .mDomain = domain,
+                      .mEchoedSentAt = *aHeartbeat.mEcho,
+                      .mTail = aHeartbeat.mTail,
+                      .mDomains = std::move(aHeartbeat.mDomains) },
     mClock.Now());
 }
 
 void
-control_core::HandlePeer(instance_life const& aPeer, snapshot_request& aRequest)
+control_core::HandlePeer(instance_identity const& aPeer,
+                         snapshot_request& aRequest)
 {
   snapshot_answer answer{ .mNumber = aRequest.mNumber,
                           .mOffset = mState.Offset() };
@@ -89,7 +92,7 @@
 }
 
 void
-control_core::HandlePeer(instance_life const&, snapshot_answer& aAnswer)
+control_core::HandlePeer(instance_identity const&, snapshot_answer& aAnswer)
 {
   bool const isNewer = aAnswer.mOffset > mState.Offset();
   if (!isNewer || aAnswer.mState.empty())
@@ -107,7 +110,7 @@
 }
 
 void
-control_core::HandlePeer(instance_life const&, poison_notice& aNotice)
+control_core::HandlePeer(instance_identity const&, poison_notice& aNotice)
 {
   mPoison.OnCrash(
     mClock.Now(),
@@ -116,14 +119,14 @@
 }
 
 void
-control_core::HandlePeer(instance_life const& aPeer, drain_notice&)
+control_core::HandlePeer(instance_identity const& aPeer, drain_notice&)
 {
   mStatus.Members().OnLeaving(aPeer);
   PublishInstances();
 }
 
 void
-control_core::HandlePeer(instance_life const&, budget_message& aMessage)
+control_core::HandlePeer(instance_identity const&, budget_message& aMessage)
 {
   instant const now = mClock.Now();
   mBudget.OnMessage(now, aMessage);
--- a/Libraries/LibRouter/InstanceReport.cpp
+++ b/Libraries/LibRouter/InstanceReport.cpp
@@ -26,8 +26,8 @@
 FormatMember(member const& aMember)
 {
   bool const isLive = aMember.mState == member_state::Live;
-  return { { "id", aMember.mLife.mInstance.Text() },
-           { "incarnation", aMember.mLife.mIncarnation.Value() },
+  return { { "id", aMember.mIdentity.mInstance.Text() },
+           { "incarnation", aMember.mIdentity.mIncarnation.Value() },
            { "failure_domain", aMember.mFailureDomain.Text() },
            { "callers", aMember.mCallers.Text() },
            { "state", isLive ? "live" : "leaving" } };
--- a/Libraries/LibRouter/InstanceReport.h
+++ b/Libraries/LibRouter/InstanceReport.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include <LibCore/Identifiers.h>
-#include <LibCore/InstanceLife.h>
+#include <LibCore/InstanceIdentity.h>
 #include <LibLimits/SlotHolder.h>
 #include <LibMembership/FreshnessVerdict.h>
 #include <LibMembership/Member.h>
@@ -17,7 +17,7 @@
 /// What an instance says of itself and of those that it knows.
 struct instance_report
 {
-  instance_life mSelf;
+  instance_identity mSelf;
   /// The last entry of the log that is in force here.
   log_offset mApplied;
   /// The log's tail as last read.
--- a/Libraries/LibRouter/InstanceStatus.cpp
+++ b/Libraries/LibRouter/InstanceStatus.cpp
@@ -5,9 +5,9 @@
 namespace {
 
 member
-SelfAsMember(daemon_settings const& aSettings, instance_life const& aSelf)
+SelfAsMember(daemon_settings const& aSettings, instance_identity const& aSelf)
 {
-  return member{ .mLife = aSelf,
+  return member{ .mIdentity = aSelf,
                  .mFailureDomain = aSettings.mFailureDomain,
                  .mCallers = aSettings.mAdvertise.mCallers,
                  .mPeers = aSettings.mAdvertise.mPeers };
@@ -16,7 +16,7 @@
 }
 
 instance_status::instance_status(daemon_settings const& aSettings,
-                                 instance_life aSelf,
+                                 instance_identity aSelf,
                                  instant aNow)
   : mSelf(std::move(aSelf))
   , mLogBound(aSettings.mTimeouts.mLogPollWait +
@@ -50,10 +50,11 @@
 }
 
 bool
-instance_status::IsAlive(instance_life const& aLife) const
+instance_status::IsAlive(instance_identity const& aIdentity) const
 {
-  std::optional<instance_life> const newest = mMembers.LifeOf(aLife.mInstance);
-  return newest && newest->mIncarnation <= aLife.mIncarnation;
+  std::optional<instance_identity> const newest =
+    mMembers.IdentityOf(aIdentity.mInstance);
+  return newest && newest->mIncarnation <= aIdentity.mIncarnation;
 }
 
 void
--- a/Libraries/LibRouter/InstanceStatus.h
+++ b/Libraries/LibRouter/InstanceStatus.h
@@ -18,14 +18,14 @@
 {
 public:
   instance_status(daemon_settings const& aSettings,
-                  instance_life aSelf,
+                  instance_identity aSelf,
                   instant aNow);
 
   // instance_view
   [[nodiscard]] freshness_verdict Freshness(instant aNow) const;
   [[nodiscard]] log_state Log(instant aNow) const;
   [[nodiscard]] bool Accepts(instant aNow) const;
-  [[nodiscard]] bool IsAlive(instance_life const& aLife) const;
+  [[nodiscard]] bool IsAlive(instance_identity const& aIdentity) const;
 
   /// This instance read the log's tail by a read sent at that time, and has
   /// applied all up to it.
@@ -34,7 +34,7 @@
   /// Replaces the peers that this instance keeps links to.
   void SetLinked(std::vector<instance_id> aLinked);
 
-  [[nodiscard]] instance_life const& Self() const noexcept { return mSelf; }
+  [[nodiscard]] instance_identity const& Self() const noexcept { return mSelf; }
   [[nodiscard]] member_table& Members() noexcept { return mMembers; }
   [[nodiscard]] member_table const& Members() const noexcept
   {
@@ -48,7 +48,7 @@
   [[nodiscard]] drain_state& Drain() noexcept { return mDrain; }
 
 private:
-  instance_life mSelf;
+  instance_identity mSelf;
   duration mLogBound;
   member_table mMembers;
   freshness mFreshness;
--- a/Libraries/LibRouter/Router.cpp
+++ b/Libraries/LibRouter/Router.cpp
@@ -12,12 +12,13 @@
 namespace {
 
 // An instance keeps nothing, so that the wall clock numbers its lives.
-instance_life
-MakeLife(daemon_settings const& aSettings)
+instance_identity
+MakeIdentity(daemon_settings const& aSettings)
 {
-  return instance_life{ .mInstance = aSettings.mInstance,
-                        .mIncarnation = incarnation{
-                          static_cast<std::uint64_t>(TimeOfDay().count()) } };
+  return instance_identity{ .mInstance = aSettings.mInstance,
+                            .mIncarnation =
+                              incarnation{ static_cast<std::uint64_t>(
+                                TimeOfDay().count()) } };
 }
 
 // Longer than the appender takes to settle a lost answer.
@@ -34,7 +35,7 @@
 
 // The instance's name and life keep ids apart over the fleet.
 std::string
-RequestIdPrefix(instance_life const& aSelf)
+RequestIdPrefix(instance_identity const& aSelf)
 {
   return aSelf.mInstance.Text() + "-" +
          std::to_string(aSelf.mIncarnation.Value()) + "-";
@@ -44,7 +45,7 @@
 
 router::router(daemon_settings aSettings)
   : mSettings(std::move(aSettings))
-  , mSelf(MakeLife(mSettings))
+  , mSelf(MakeIdentity(mSettings))
   , mTables(std::make_shared<config_tables const>())
   , mInstancesBody(std::make_shared<std::string const>("{}"))
   , mInbox(
--- a/Libraries/LibRouter/Router.h
+++ b/Libraries/LibRouter/Router.h
@@ -33,7 +33,7 @@
   admin_answer CarryOut(admin_call aCall);
 
   daemon_settings mSettings;
-  instance_life mSelf;
+  instance_identity mSelf;
   published<config_tables> mTables;
   published<std::string> mInstancesBody;
   control_thread mControl;
--- a/Libraries/LibRouter/Traffic.cpp
+++ b/Libraries/LibRouter/Traffic.cpp
@@ -72,9 +72,9 @@
 }
 
 void
-traffic::OnCallerGone(call_number aCall)
+traffic::OnCallerDisconnected(call_number aCall)
 {
-  mInbox.Post(caller_gone{ .mCall = aCall });
+  mInbox.Post(caller_disconnected{ .mCall = aCall });
 }
 
 void
--- a/Libraries/LibRouter/Traffic.h
+++ b/Libraries/LibRouter/Traffic.h
@@ -37,7 +37,7 @@
 
   // What front workers tell (call_sink).
   void OnCall(caller_request aRequest);
-  void OnCallerGone(call_number aCall);
+  void OnCallerDisconnected(call_number aCall);
   void OnPace(call_number aCall, caller_pace aPace);
   std::string ModelsBody();
   std::string InstancesBody();
--- a/Services/lycheeseamd/FleetInstance.h
+++ b/Services/lycheeseamd/FleetInstance.h
@@ -24,7 +24,7 @@
     : mState(mControl.Context(),
              MakeFleetOptions(aSettings),
              mView,
-             [this](peer_news aNews) { OnPeerNews(std::move(aNews)); })
+             [this](peer_update aNews) { OnPeerUpdate(std::move(aNews)); })
     , mFront(mTraffic.Context(),
              MakeGatewayOptions(aSettings),
              mView,
@@ -51,10 +51,10 @@
   using fleet_gateway = gateway<platform::request_dialect>;
   using store_control = fleet_control<platform::store_dialect>;
 
-  void OnPeerNews(peer_news aNews)
+  void OnPeerUpdate(peer_update aNews)
   {
     boost::asio::post(mTraffic.Context(), [this, news = std::move(aNews)]() {
-      mFront.OnPeerNews(news);
+      mFront.OnPeerUpdate(news);
     });
   }
 
--- a/Services/lycheeseamd/FleetOptions.cpp
+++ b/Services/lycheeseamd/FleetOptions.cpp
@@ -11,7 +11,7 @@
 
 // A restart has a later start, also on another machine of the same name.
 incarnation
-ThisLife()
+ThisIncarnation()
 {
   return incarnation{ static_cast<std::uint64_t>(TimeOfDay().count()) };
 }
@@ -53,8 +53,8 @@
 MakeFleetOptions(fleet_settings const& aSettings)
 {
   constexpr double kThousandths = 1'000;
-  return { .mSelf = { .mLife = { .mInstance = aSettings.mInstance,
-                                 .mIncarnation = ThisLife() },
+  return { .mSelf = { .mIdentity = { .mInstance = aSettings.mInstance,
+                                     .mIncarnation = ThisIncarnation() },
                       .mFailureDomain = aSettings.mDomain,
                       .mCallers = aSettings.mCallers,
                       .mPeers = aSettings.mPeers,
--- a/StandIns/Engine/Generator.cpp
+++ b/StandIns/Engine/Generator.cpp
@@ -24,7 +24,7 @@
   ++mCounts.mRuns[aRequest.mAnswerName];
   mCounts.mPromptTokens += TokensOf(aRequest.mPrompt);
   mAnswers.emplace(id, answer_writer{ aRequest, aExchange });
-  aExchange->OnCallerGone([this, id]() { Forget(id); });
+  aExchange->OnCallerDisconnected([this, id]() { Forget(id); });
   mBatch.Add(sequence{
     .mId = id,
     .mPriority = aRequest.mPriority,
--- a/StandIns/Http/HttpExchange.cpp
+++ b/StandIns/Http/HttpExchange.cpp
@@ -98,9 +98,9 @@
 }
 
 void
-http_exchange::OnCallerGone(callback aCallback)
+http_exchange::OnCallerDisconnected(callback aCallback)
 {
-  mOnCallerGone = std::move(aCallback);
+  mOnCallerDisconnected = std::move(aCallback);
 }
 
 void
@@ -143,7 +143,7 @@
 {
   if (std::exchange(mFinished, true))
     return;
-  mOnCallerGone = nullptr;
+  mOnCallerDisconnected = nullptr;
   if (mRequest.keep_alive())
     std::exchange(mOnAnswered, nullptr)();
   else
@@ -158,8 +158,8 @@
   mOnAnswered = nullptr;
   boost::system::error_code ignored;
   mSocket->close(ignored);
-  if (mOnCallerGone)
-    std::exchange(mOnCallerGone, nullptr)();
+  if (mOnCallerDisconnected)
+    std::exchange(mOnCallerDisconnected, nullptr)();
 }
 
 }
--- a/StandIns/Http/HttpExchange.h
+++ b/StandIns/Http/HttpExchange.h
@@ -46,7 +46,7 @@
   void Close();
 
   /// Runs once if the caller goes before the answer is complete.
-  void OnCallerGone(callback aCallback);
+  void OnCallerDisconnected(callback aCallback);
 
   /// Watches for the caller's going; called by the connection once.
   void WatchCaller();
@@ -63,7 +63,7 @@
   http_request mRequest;
   boost::beast::http::fields mHeaders;
   callback mOnAnswered;
-  callback mOnCallerGone;
+  callback mOnCallerDisconnected;
   std::string mWaiting;
   std::string mWriting;
   bool mEnded = false;
--- a/Tests/LibControl/SteadyView.h
+++ b/Tests/LibControl/SteadyView.h
@@ -15,7 +15,7 @@
   }
   [[nodiscard]] log_state Log(instant) const { return log_state::Reachable; }
   [[nodiscard]] bool Accepts(instant) const { return mAccepts; }
-  [[nodiscard]] bool IsAlive(instance_life const&) const { return true; }
+  [[nodiscard]] bool IsAlive(instance_identity const&) const { return true; }
 };
 
 }
--- a/Tests/LibControl/TestRequestDirector.cpp
+++ b/Tests/LibControl/TestRequestDirector.cpp
@@ -78,7 +78,7 @@
   instant mNow{};
   recording_ports mPorts;
   steady_view mView;
-  instance_life mSelf{ instance_id{ "i" }, incarnation{ 1 } };
+  instance_identity mSelf{ instance_id{ "i" }, incarnation{ 1 } };
   fleet_budget mBudget{ mSelf, {}, {}, {} };
   once_gate mGate{ mSelf, {}, {} };
   poison_table mPoison{ {} };
@@ -180,7 +180,7 @@
 TEST_F(TestRequestDirector, CancelsTheAttemptOfACallerThatHasGone)
 {
   Open();
-  mDirector.Handle(caller_gone{ kCall }, mNow);
+  mDirector.Handle(caller_disconnected{ kCall }, mNow);
   EXPECT_EQ(std::get<cancel_transfer>(mPorts.mUpstream.back()).mCall, kCall);
   EXPECT_EQ(mDirector.OpenCalls(), 0U);
 }
--- a/Tests/LibDispatch/TestChooseServer.cpp
+++ b/Tests/LibDispatch/TestChooseServer.cpp
@@ -21,25 +21,26 @@
   explicit engines(std::size_t aCount)
   {
     for (std::size_t index = 0; index < aCount; ++index) {
-      std::unique_ptr<served_server> server = std::make_unique<served_server>();
-      server->mListed.mId = backend_server_id{ std::to_string(index) };
-      server->mListed.mSlots = 10;
-      server->mListed.mModels = { { .mModel = kModel, .mVersion = 1 } };
+      std::unique_ptr<tracked_server> server =
+        std::make_unique<tracked_server>();
+      server->mRegistered.mId = backend_server_id{ std::to_string(index) };
+      server->mRegistered.mSlots = 10;
+      server->mRegistered.mModels = { { .mModel = kModel, .mVersion = 1 } };
       server->mSeed = (index + 1) * 0x9e3779b97f4a7c15ULL;
       mPointers.push_back(server.get());
       mServers.push_back(std::move(server));
     }
   }
 
-  served_server& operator[](std::size_t aIndex) { return *mServers[aIndex]; }
-  [[nodiscard]] std::span<served_server* const> All() const
+  tracked_server& operator[](std::size_t aIndex) { return *mServers[aIndex]; }
+  [[nodiscard]] std::span<tracked_server* const> All() const
   {
     return mPointers;
   }
 
 private:
-  std::vector<std::unique_ptr<served_server>> mServers;
-  std::vector<served_server*> mPointers;
+  std::vector<std::unique_ptr<tracked_server>> mServers;
+  std::vector<tracked_server*> mPointers;
 };
 
 server_choice_request
@@ -51,9 +52,9 @@
 TEST(TestChooseServer, EqualPromptsGoToOneServerAndAllAreUsed)
 {
   engines some{ 6 };
-  std::map<served_server*, int> uses;
+  std::map<tracked_server*, int> uses;
   for (std::uint64_t key = 1; key <= 600; ++key) {
-    served_server* const first = ChooseServer(some.All(), Request(key * 977));
+    tracked_server* const first = ChooseServer(some.All(), Request(key * 977));
     EXPECT_EQ(ChooseServer(some.All(), Request(key * 977)), first);
     ++uses[first];
   }
@@ -65,7 +66,7 @@
 TEST(TestChooseServer, ALoadedServerPassesPromptsOn)
 {
   engines some{ 4 };
-  served_server* const first = ChooseServer(some.All(), Request(5));
+  tracked_server* const first = ChooseServer(some.All(), Request(5));
   first->mInFlight = 9;
   EXPECT_NE(ChooseServer(some.All(), Request(5)), first);
 }
@@ -73,7 +74,7 @@
 TEST(TestChooseServer, TokensCountAsLoad)
 {
   engines some{ 2 };
-  served_server* const first = ChooseServer(some.All(), Request(5));
+  tracked_server* const first = ChooseServer(some.All(), Request(5));
   first->mMemoryTokens = 1'000;
   first->OnStart(900);
   EXPECT_NE(ChooseServer(some.All(), Request(5)), first);
@@ -84,7 +85,7 @@
 TEST(TestChooseServer, NewestWeightsAreUsedUntilTheirServersAreBusy)
 {
   engines some{ 4 };
-  some[2].mListed.mModels[0].mVersion = 2;
+  some[2].mRegistered.mModels[0].mVersion = 2;
   EXPECT_EQ(ChooseServer(some.All(), Request(1)), &some[2]);
   some[2].mInFlight = 8;
   EXPECT_NE(ChooseServer(some.All(), Request(1)), &some[2]);
@@ -95,7 +96,7 @@
 TEST(TestChooseServer, OutdatedWeightsAreNotUsed)
 {
   engines some{ 1 };
-  named_weights const weights{
+  target_weights const weights{
     .mModel = kModel,
     .mVersions = { { .mVersion = 1, .mLearnedAt = kNow - seconds{ 60 } },
                    { .mVersion = 2, .mLearnedAt = kNow - seconds{ 7 } } }
@@ -106,7 +107,7 @@
   EXPECT_EQ(ChooseServer(some.All(), request), nullptr);
   request.mOutdatedAfter = seconds{ 8 };
   EXPECT_EQ(ChooseServer(some.All(), request), &some[0]);
-  some[0].mListed.mModels[0].mVersion = 2;
+  some[0].mRegistered.mModels[0].mVersion = 2;
   request.mOutdatedAfter = seconds{ 6 };
   EXPECT_EQ(ChooseServer(some.All(), request), &some[0]);
 }
@@ -114,12 +115,12 @@
 TEST(TestChooseServer, ServersThatMayTakeNoWorkAreLeftOut)
 {
   engines some{ 4 };
-  some[0].mIsTurning = true;
-  some[1].mListed.mStage = server_stage::Leaving;
+  some[0].mIsUpdating = true;
+  some[1].mRegistered.mStage = server_stage::Leaving;
   some[2].mBreaker.OnAbsence(kNow);
   server_choice_request request = Request(1);
   EXPECT_EQ(ChooseServer(some.All(), request), &some[3]);
-  request.mTried = { some[3].mListed.mId };
+  request.mTried = { some[3].mRegistered.mId };
   EXPECT_EQ(ChooseServer(some.All(), request), nullptr);
 }
 
@@ -136,7 +137,7 @@
 {
   engines some{ 3 };
   some[0].mInFlight = 1;
-  some[2].mListed.mDomain = failure_domain{ "here" };
+  some[2].mRegistered.mDomain = failure_domain{ "here" };
   server_choice_request const request{ .mNow = kNow,
                                        .mDomain = failure_domain{ "here" } };
   EXPECT_EQ(ChooseServer(some.All(), request), &some[2]);
@@ -147,12 +148,12 @@
 TEST(TestChooseServer, ACacheSourceHasTheSameWeights)
 {
   engines some{ 3 };
-  served_server* const first = ChooseServer(some.All(), Request(3));
-  served_server* const source =
+  tracked_server* const first = ChooseServer(some.All(), Request(3));
+  tracked_server* const source =
     ChooseCacheSource(some.All(), Request(3), *first);
   ASSERT_NE(source, nullptr);
   EXPECT_NE(source, first);
-  source->mListed.mModels[0].mVersion = 2;
+  source->mRegistered.mModels[0].mVersion = 2;
   EXPECT_NE(ChooseCacheSource(some.All(), Request(3), *first), source);
 }
 
--- a/Tests/LibDispatch/TestLedgers.cpp
+++ b/Tests/LibDispatch/TestLedgers.cpp
@@ -1,5 +1,5 @@
-#include <LibDispatch/CrashLedger.h>
-#include <LibDispatch/PrefixMemory.h>
+#include <LibDispatch/CrashTracker.h>
+#include <LibDispatch/PrefixIndex.h>
 #include <LibDispatch/ServerTable.h>
 
 #include <gtest/gtest.h>
@@ -15,26 +15,26 @@
 
 TEST(TestLedgers, ThreeLostServersMakeARequestPoison)
 {
-  crash_ledger ledger;
-  ledger.OnCrash(kNow, 1, 2);
-  EXPECT_FALSE(ledger.IsPoison(kNow, 1));
-  ledger.OnCrash(kNow, 1);
-  EXPECT_TRUE(ledger.IsPoison(kNow, 1));
-  EXPECT_FALSE(ledger.IsPoison(kNow, 2));
-  EXPECT_FALSE(ledger.IsPoison(kNow + minutes{ 3 }, 1));
+  crash_tracker tracker;
+  tracker.OnCrash(kNow, 1, 2);
+  EXPECT_FALSE(tracker.IsPoison(kNow, 1));
+  tracker.OnCrash(kNow, 1);
+  EXPECT_TRUE(tracker.IsPoison(kNow, 1));
+  EXPECT_FALSE(tracker.IsPoison(kNow, 2));
+  EXPECT_FALSE(tracker.IsPoison(kNow + minutes{ 3 }, 1));
 }
 
 TEST(TestLedgers, AnAnswerClearsARequest)
 {
-  crash_ledger ledger;
-  ledger.OnCrash(kNow, 1, 3);
-  ledger.OnAnswer(1);
-  EXPECT_FALSE(ledger.IsPoison(kNow, 1));
+  crash_tracker tracker;
+  tracker.OnCrash(kNow, 1, 3);
+  tracker.OnAnswer(1);
+  EXPECT_FALSE(tracker.IsPoison(kNow, 1));
 }
 
 TEST(TestLedgers, HoldersAreTrustedForAShortWhile)
 {
-  prefix_memory memory;
+  prefix_index memory;
   backend_server_id const server{ "s" };
   memory.OnServed(kNow, { .mKey = 7, .mServer = server, .mIsStored = true });
   EXPECT_EQ(memory.Holder(kNow, 7), server);
@@ -46,10 +46,10 @@
 }
 
 fleet_view
-ViewOf(std::uint64_t aLife, std::uint64_t aVersion)
+ViewOf(std::uint64_t aIncarnation, std::uint64_t aVersion)
 {
   return { .mServers = { { .mId = backend_server_id{ "s" },
-                           .mLife = incarnation{ aLife },
+                           .mIncarnation = incarnation{ aIncarnation },
                            .mPool = pool_name{ "p" },
                            .mModels = { { .mModel = model_name{ "m" },
                                           .mVersion = aVersion } } } } };
@@ -72,9 +72,9 @@
   table.Apply(ViewOf(1, 3));
   table.Apply(ViewOf(1, 2));
   model_name const model{ "m" };
-  EXPECT_EQ(table.Pool(pool_name{ "p" })[0]->mListed.VersionOf(model), 3U);
+  EXPECT_EQ(table.Pool(pool_name{ "p" })[0]->mRegistered.VersionOf(model), 3U);
   table.Apply(ViewOf(2, 2));
-  EXPECT_EQ(table.Pool(pool_name{ "p" })[0]->mListed.VersionOf(model), 2U);
+  EXPECT_EQ(table.Pool(pool_name{ "p" })[0]->mRegistered.VersionOf(model), 2U);
 }
 
 }
--- a/Tests/LibDispatch/TestQuotaLedger.cpp
+++ b/Tests/LibDispatch/TestQuotaLimiter.cpp
@@ -1,4 +1,4 @@
-#include <LibDispatch/QuotaLedger.h>
+#include <LibDispatch/QuotaLimiter.h>
 
 #include <gtest/gtest.h>
 
@@ -37,83 +37,83 @@
              std::vector<dispatch_workspace>{ kWorkspace },
              caller_limits{}),
            .mInstances = aInstances,
-           .mSilentInstances = aSilent };
+           .mUnresponsiveInstances = aSilent };
 }
 
-// A ledger that has counted for a whole window.
-quota_ledger
-SettledLedger(fleet_view const& aView)
+// A limiter that has counted for a whole window.
+quota_limiter
+SettledLimiter(fleet_view const& aView)
 {
-  quota_ledger ledger{ { .mWindow = kWindow } };
-  ledger.Apply(At({}) - 2 * kWindow, aView);
-  return ledger;
+  quota_limiter limiter{ { .mWindow = kWindow } };
+  limiter.Apply(At({}) - 2 * kWindow, aView);
+  return limiter;
 }
 
 double
-ChargeAll(quota_ledger& aLedger, instant aNow)
+ChargeAll(quota_limiter& aLimiter, instant aNow)
 {
   double charged = 0;
-  while (aLedger.TryCharge(aNow, kWorkspace, 10))
+  while (aLimiter.TryCharge(aNow, kWorkspace, 10))
     charged += 10;
   return charged;
 }
 
-TEST(TestQuotaLedger, AWindowHoldsRateAndBurst)
+TEST(TestQuotaLimiter, AWindowHoldsRateAndBurst)
 {
-  quota_ledger ledger = SettledLedger(View(1, 0));
-  EXPECT_EQ(ChargeAll(ledger, At({})), kLimit);
-  EXPECT_EQ(ChargeAll(ledger, At(kWindow / 2)), 0);
-  EXPECT_GT(ledger.WaitFor(At(kWindow / 2), kWorkspace, 10), duration{});
-  EXPECT_EQ(ChargeAll(ledger, At(kWindow + seconds{ 1 })), kLimit);
+  quota_limiter limiter = SettledLimiter(View(1, 0));
+  EXPECT_EQ(ChargeAll(limiter, At({})), kLimit);
+  EXPECT_EQ(ChargeAll(limiter, At(kWindow / 2)), 0);
+  EXPECT_GT(limiter.WaitFor(At(kWindow / 2), kWorkspace, 10), duration{});
+  EXPECT_EQ(ChargeAll(limiter, At(kWindow + seconds{ 1 })), kLimit);
 }
 
-TEST(TestQuotaLedger, OthersAdmissionsCount)
+TEST(TestQuotaLimiter, OthersAdmissionsCount)
 {
   fleet_view view = View(2, 0);
-  quota_ledger ledger = SettledLedger(view);
+  quota_limiter limiter = SettledLimiter(view);
   view.mSpentElsewhere = { { kWorkspace.mName, 700 } };
-  ledger.Apply(At({}), view);
-  EXPECT_EQ(ChargeAll(ledger, At({})), kLimit - 700);
+  limiter.Apply(At({}), view);
+  EXPECT_EQ(ChargeAll(limiter, At({})), kLimit - 700);
 }
 
-TEST(TestQuotaLedger, SilentInstancesKeepTheirShare)
+TEST(TestQuotaLimiter, SilentInstancesKeepTheirShare)
 {
-  quota_ledger ledger = SettledLedger(View(4, 3));
-  EXPECT_EQ(ChargeAll(ledger, At({})), kLimit / 4);
+  quota_limiter limiter = SettledLimiter(View(4, 3));
+  EXPECT_EQ(ChargeAll(limiter, At({})), kLimit / 4);
 }
 
-TEST(TestQuotaLedger, ARefusedRequestIsGivenBack)
+TEST(TestQuotaLimiter, ARefusedRequestIsGivenBack)
 {
-  quota_ledger ledger = SettledLedger(View(1, 0));
-  ASSERT_TRUE(ledger.TryCharge(At({}), kWorkspace, kLimit));
-  EXPECT_FALSE(ledger.TryCharge(At({}), kWorkspace, 1));
-  ledger.Refund(At({}), kWorkspace.mName, kLimit);
-  EXPECT_TRUE(ledger.TryCharge(At({}), kWorkspace, kLimit));
+  quota_limiter limiter = SettledLimiter(View(1, 0));
+  ASSERT_TRUE(limiter.TryCharge(At({}), kWorkspace, kLimit));
+  EXPECT_FALSE(limiter.TryCharge(At({}), kWorkspace, 1));
+  limiter.Refund(At({}), kWorkspace.mName, kLimit);
+  EXPECT_TRUE(limiter.TryCharge(At({}), kWorkspace, kLimit));
 }
 
 // Found on trouble-3: after all instances were killed at once, a second burst
 // was admitted within one window.
-TEST(TestQuotaLedger, ARestartDoesNotRenewTheBurst)
+TEST(TestQuotaLimiter, ARestartDoesNotRenewTheBurst)
 {
-  quota_ledger ledger{ { .mWindow = kWindow } };
-  ledger.Apply(At({}), View(1, 0));
+  quota_limiter limiter{ { .mWindow = kWindow } };
+  limiter.Apply(At({}), View(1, 0));
   double charged = 0;
   for (duration at{}; at < kWindow; at += milliseconds{ 100 })
-    charged += ChargeAll(ledger, At(at));
+    charged += ChargeAll(limiter, At(at));
   EXPECT_LE(charged, kLimit);
   // The rate itself stays open.
   EXPECT_GE(charged, kWorkspace.mRate * 7);
 }
 
-TEST(TestQuotaLedger, PeersTellARestartedInstanceWhatWasAdmitted)
+TEST(TestQuotaLimiter, PeersTellARestartedInstanceWhatWasAdmitted)
 {
-  quota_ledger ledger{ { .mWindow = kWindow } };
+  quota_limiter limiter{ { .mWindow = kWindow } };
   fleet_view view = View(2, 0);
-  ledger.Apply(At({}), view);
-  EXPECT_EQ(ChargeAll(ledger, At({})), 0);
+  limiter.Apply(At({}), view);
+  EXPECT_EQ(ChargeAll(limiter, At({})), 0);
   view.mUsedElsewhere = { { kWorkspace.mName, 400 } };
-  ledger.Apply(At(milliseconds{ 100 }), view);
-  EXPECT_NEAR(ChargeAll(ledger, At(milliseconds{ 100 })), kLimit - 400, 10);
+  limiter.Apply(At(milliseconds{ 100 }), view);
+  EXPECT_NEAR(ChargeAll(limiter, At(milliseconds{ 100 })), kLimit - 400, 10);
 }
 
 // What a fleet admits in 20 s while it is asked for five times the rate and
@@ -130,9 +130,9 @@
   {
     mView.mReportDelay = kDelay;
     for (std::uint32_t index = 0; index < kInstances; ++index) {
-      mLedgers.emplace_back(quota_terms{
+      mLimiters.emplace_back(quota_parameters{
         .mWindow = kWindow, .mOvershoot = 0.05, .mSeed = aSeed + index });
-      mLedgers.back().Apply(At({}) - 2 * kWindow, mView);
+      mLimiters.back().Apply(At({}) - 2 * kWindow, mView);
     }
   }
 
@@ -148,7 +148,7 @@
       due += aAskedASecond * 0.01;
       for (; due >= kUnits; due -= kUnits) {
         next = (next + 17) % kInstances;
-        if (mLedgers[next].TryCharge(At(at), kWorkspace, kUnits))
+        if (mLimiters[next].TryCharge(At(at), kWorkspace, kUnits))
           mAll.Add(At(at), kUnits);
       }
       if (at % kDelay == duration{})
@@ -161,31 +161,31 @@
 private:
   void Tell(instant aNow)
   {
-    spent_units all{ .mWorkspace = kWorkspace.mName };
+    workspace_usage all{ .mWorkspace = kWorkspace.mName };
     for (int index = 0; index < kInstances; ++index) {
-      mTold[index] = mLedgers[index].Spent().empty()
-                       ? spent_units{}
-                       : mLedgers[index].Spent().front();
+      mTold[index] = mLimiters[index].Spent().empty()
+                       ? workspace_usage{}
+                       : mLimiters[index].Spent().front();
       all.mUnits += mTold[index].mUnits;
-      all.mAsked += mTold[index].mAsked;
+      all.mDemand += mTold[index].mDemand;
     }
     for (int index = 0; index < kInstances; ++index) {
       mView.mSpentElsewhere = { { kWorkspace.mName,
                                   all.mUnits - mTold[index].mUnits,
-                                  all.mAsked - mTold[index].mAsked } };
-      mLedgers[index].Apply(aNow, mView);
+                                  all.mDemand - mTold[index].mDemand } };
+      mLimiters[index].Apply(aNow, mView);
     }
   }
 
-  std::vector<quota_ledger> mLedgers;
-  std::vector<spent_units> mTold;
+  std::vector<quota_limiter> mLimiters;
+  std::vector<workspace_usage> mTold;
   fleet_view mView;
   quota_window mAll{ kWindow };
 };
 
 // Found on a grown site's day: 80 instances that all saw room in a window at
 // the same moment filled it several times over before they heard of it.
-TEST(TestQuotaLedger, AFleetThatHearsLateKeepsToTheLimitAndFillsIt)
+TEST(TestQuotaLimiter, AFleetThatHearsLateKeepsToTheLimitAndFillsIt)
 {
   for (std::uint32_t seed = 1; seed <= 100; ++seed) {
     auto const [most, last] =
@@ -195,17 +195,17 @@
   }
 }
 
-TEST(TestQuotaLedger, AFleetThatIsAskedForLessThanTheRateRefusesNothing)
+TEST(TestQuotaLimiter, AFleetThatIsAskedForLessThanTheRateRefusesNothing)
 {
   constexpr double kAsked = 0.9 * 100;
   auto const [most, last] = quota_fleet{ 1 }.Run(kAsked);
   EXPECT_NEAR(last, kAsked * 8, 0.05 * kLimit);
 }
 
-TEST(TestQuotaLedger, NoLimitIsNoLimit)
+TEST(TestQuotaLimiter, NoLimitIsNoLimit)
 {
-  quota_ledger ledger{ { .mWindow = kWindow } };
-  EXPECT_TRUE(ledger.TryCharge(
+  quota_limiter limiter{ { .mWindow = kWindow } };
+  EXPECT_TRUE(limiter.TryCharge(
     At({}), { .mName = workspace_id{ "free" } }, 1'000'000'000));
 }
 
--- a/Tests/LibFleet/SimulatedFleet.h
+++ b/Tests/LibFleet/SimulatedFleet.h
@@ -25,7 +25,7 @@
   {
     explicit member(peer_hello aHello)
       : mHello(std::move(aHello))
-      , mBook(mHello.mLife.mInstance)
+      , mBook(mHello.mIdentity.mInstance)
     {
     }
 
@@ -59,10 +59,10 @@
   void Kill(instance_id const& aId)
   {
     std::set<instance_id> const peers = Peers(aId);
-    instance_life const life = mMembers.at(aId)->mHello.mLife;
+    instance_identity const identity = mMembers.at(aId)->mHello.mIdentity;
     for (instance_id const& peer : peers) {
       mLinks.erase(Link(aId, peer));
-      mMembers.at(peer)->mBook.OnDown(mNow, life);
+      mMembers.at(peer)->mBook.OnDown(mNow, identity);
       mMembers.at(peer)->mExchange->OnInstances();
     }
     mMembers.erase(aId);
@@ -121,7 +121,8 @@
     constexpr int kDomains = 3;
     std::string const domain = std::to_string(aIndex % kDomains);
     auto const added = std::make_shared<peer_hello>(peer_hello{
-      .mLife = { .mInstance = Name(aIndex), .mIncarnation = incarnation{ 1 } },
+      .mIdentity = { .mInstance = Name(aIndex),
+                     .mIncarnation = incarnation{ 1 } },
       .mFailureDomain = failure_domain{ "domain-" + domain },
       .mPeers = { .mAddress = "10.0.0.1",
                   .mPort = static_cast<std::uint16_t>(aIndex + 1) } });
@@ -158,8 +159,10 @@
   {
     if (mLinks.erase(Link(aFirst, aSecond)) == 0)
       return;
-    mMembers.at(aFirst)->mBook.OnDown(mNow, mMembers.at(aSecond)->mHello.mLife);
-    mMembers.at(aSecond)->mBook.OnDown(mNow, mMembers.at(aFirst)->mHello.mLife);
+    mMembers.at(aFirst)->mBook.OnDown(mNow,
+                                      mMembers.at(aSecond)->mHello.mIdentity);
+    mMembers.at(aSecond)->mBook.OnDown(mNow,
+                                       mMembers.at(aFirst)->mHello.mIdentity);
   }
 
   void Open()
@@ -210,7 +213,8 @@
 
   void Deliver(member& aTo, message const& aMessage)
   {
-    instance_life const from = mMembers.at(aMessage.mFrom)->mHello.mLife;
+    instance_identity const from =
+      mMembers.at(aMessage.mFrom)->mHello.mIdentity;
     if (auto const* const roster =
           std::get_if<fleet_roster>(&aMessage.mContent)) {
       if (aTo.mBook.OnRoster(mNow, from, *roster))
--- a/Tests/LibFleet/TestFleetMetrics.cpp
+++ b/Tests/LibFleet/TestFleetMetrics.cpp
@@ -1,6 +1,6 @@
 #include <LibEvents/EventLog.h>
 #include <LibFleet/FleetMetrics.h>
-#include <LibGateway/QuestionSession.h>
+#include <LibGateway/QuerySession.h>
 #include <LibGateway/SessionListener.h>
 
 #include <boost/asio/read.hpp>
@@ -50,7 +50,7 @@
 TEST(TestFleetMetrics, TellsWhatTheInstanceBelieves)
 {
   fleet_metrics metrics;
-  fleet_view view{ .mInstances = 4, .mSilentInstances = 1 };
+  fleet_view view{ .mInstances = 4, .mUnresponsiveInstances = 1 };
   instant const start{ seconds{ 100 } };
   view.mConfig =
     std::make_shared<dispatch_config const>(7,
@@ -73,9 +73,9 @@
   endpoint const address{ .mAddress = "127.0.0.1", .mPort = 0 };
   boost::asio::io_context context;
   fleet_metrics metrics;
-  session_listener<question_session<fleet_metrics>, fleet_metrics> page{
-    context, metrics, address
-  };
+  session_listener<query_session<fleet_metrics>, fleet_metrics> page{ context,
+                                                                      metrics,
+                                                                      address };
   page.Accept();
   tcp::socket caller{ context };
   caller.connect(
--- a/Tests/LibFleet/TestOperatorState.cpp
+++ b/Tests/LibFleet/TestOperatorState.cpp
@@ -37,7 +37,7 @@
   EXPECT_TRUE(state.Take(kNow + std::chrono::seconds{ 3 },
                          { .mModel = model, .mVersion = 4 }));
   EXPECT_FALSE(state.Take(kNow, { .mModel = model, .mVersion = 3 }));
-  named_weights const& weights = state.Weights()[0];
+  target_weights const& weights = state.Weights()[0];
   EXPECT_EQ(weights.Newest(), 4U);
   EXPECT_EQ(weights.ReplacedSince(1), kNow);
   EXPECT_EQ(weights.ReplacedSince(2), kNow + std::chrono::seconds{ 3 });
--- a/Tests/LibFleet/TestPeerBook.cpp
+++ b/Tests/LibFleet/TestPeerBook.cpp
@@ -14,10 +14,10 @@
 workspace_id const kWorkspace{ "w" };
 
 peer_hello
-Hello(char const* aName, std::uint64_t aLife = 1)
+Hello(char const* aName, std::uint64_t aIncarnation = 1)
 {
-  return { .mLife = { .mInstance = instance_id{ aName },
-                      .mIncarnation = incarnation{ aLife } } };
+  return { .mIdentity = { .mInstance = instance_id{ aName },
+                          .mIncarnation = incarnation{ aIncarnation } } };
 }
 
 fleet_report
@@ -36,7 +36,7 @@
 SpentOf(peer_book const& aBook)
 {
   double sum = 0;
-  for (spent_units const& spent : aBook.Spending().Spent())
+  for (workspace_usage const& spent : aBook.Spending().Spent())
     sum += spent.mUnits;
   return sum;
 }
@@ -47,12 +47,12 @@
   book.OnUp(kNow, Hello("a"));
   EXPECT_TRUE(book.Entries().empty());
   book.OnRoster(kNow,
-                Hello("a").mLife,
+                Hello("a").mIdentity,
                 Roster({ { .mHello = Hello("a"), .mIsReady = true } }));
   EXPECT_EQ(book.Entries().size(), 1U);
   book.OnRoster(
     kNow,
-    Hello("a").mLife,
+    Hello("a").mIdentity,
     Roster({ { .mHello = Hello("a"), .mIsReady = true, .mIsLeaving = true } }));
   EXPECT_TRUE(book.Entries().empty());
 }
@@ -61,10 +61,10 @@
 {
   peer_book book{ instance_id{ "m" } };
   book.OnUp(kNow, Hello("a"));
-  book.OnReport(kNow, Hello("a").mLife, Spent(0));
+  book.OnReport(kNow, Hello("a").mIdentity, Spent(0));
   EXPECT_EQ(book.Silent(kNow), 0U);
   EXPECT_EQ(book.Silent(kNow + seconds{ 1 }), 1U);
-  book.OnDown(kNow + seconds{ 1 }, Hello("a").mLife);
+  book.OnDown(kNow + seconds{ 1 }, Hello("a").mIdentity);
   book.Prune(kNow + seconds{ 20 });
   EXPECT_EQ(book.Known().Count(), 1U);
   book.Prune(kNow + seconds{ 40 });
@@ -75,12 +75,12 @@
 {
   peer_book book{ instance_id{ "m" } };
   book.OnUp(kNow, Hello("a", 1));
-  book.OnReport(kNow, Hello("a", 1).mLife, Spent(0));
-  book.OnReport(kNow + milliseconds{ 200 }, Hello("a", 1).mLife, Spent(15));
+  book.OnReport(kNow, Hello("a", 1).mIdentity, Spent(0));
+  book.OnReport(kNow + milliseconds{ 200 }, Hello("a", 1).mIdentity, Spent(15));
   EXPECT_EQ(SpentOf(book), 15);
   book.OnUp(kNow + milliseconds{ 300 }, Hello("a", 2));
-  book.OnReport(kNow + milliseconds{ 400 }, Hello("a", 2).mLife, Spent(0));
-  book.OnReport(kNow + milliseconds{ 600 }, Hello("a", 2).mLife, Spent(5));
+  book.OnReport(kNow + milliseconds{ 400 }, Hello("a", 2).mIdentity, Spent(0));
+  book.OnReport(kNow + milliseconds{ 600 }, Hello("a", 2).mIdentity, Spent(5));
   EXPECT_EQ(SpentOf(book), 20);
 }
 
@@ -90,9 +90,10 @@
 {
   peer_book book{ instance_id{ "m" } };
   book.OnUp(kNow, Hello("a"));
-  book.OnReport(kNow, Hello("a").mLife, Spent(1'000'000));
+  book.OnReport(kNow, Hello("a").mIdentity, Spent(1'000'000));
   EXPECT_EQ(SpentOf(book), 0);
-  book.OnReport(kNow + milliseconds{ 200 }, Hello("a").mLife, Spent(1'000'007));
+  book.OnReport(
+    kNow + milliseconds{ 200 }, Hello("a").mIdentity, Spent(1'000'007));
   EXPECT_EQ(SpentOf(book), 7);
 }
 
@@ -100,12 +101,12 @@
 {
   peer_book book{ instance_id{ "m" } };
   book.OnUp(kNow, Hello("a"));
-  book.OnReport(kNow, Hello("a").mLife, Spent(0));
-  book.OnReport(kNow + milliseconds{ 200 }, Hello("a").mLife, Spent(10));
-  book.OnReport(kNow + seconds{ 5 }, Hello("a").mLife, Spent(90));
+  book.OnReport(kNow, Hello("a").mIdentity, Spent(0));
+  book.OnReport(kNow + milliseconds{ 200 }, Hello("a").mIdentity, Spent(10));
+  book.OnReport(kNow + seconds{ 5 }, Hello("a").mIdentity, Spent(90));
   EXPECT_EQ(SpentOf(book), 10);
   book.OnReport(
-    kNow + seconds{ 5 } + milliseconds{ 100 }, Hello("a").mLife, Spent(95));
+    kNow + seconds{ 5 } + milliseconds{ 100 }, Hello("a").mIdentity, Spent(95));
   EXPECT_EQ(SpentOf(book), 15);
 }
 
@@ -115,11 +116,11 @@
   for (char const* const name : { "a", "b" })
     book.OnUp(kNow, Hello(name));
   book.OnReport(kNow,
-                Hello("a").mLife,
-                { .mLease = 3, .mTurning = { backend_server_id{ "old" } } });
+                Hello("a").mIdentity,
+                { .mLease = 3, .mUpdating = { backend_server_id{ "old" } } });
   book.OnReport(kNow,
-                Hello("b").mLife,
-                { .mLease = 4, .mTurning = { backend_server_id{ "new" } } });
+                Hello("b").mIdentity,
+                { .mLease = 4, .mUpdating = { backend_server_id{ "new" } } });
   EXPECT_EQ(book.NewestLease(kNow), 4U);
   EXPECT_TRUE(book.Turning(kNow).contains(backend_server_id{ "new" }));
   EXPECT_FALSE(book.Turning(kNow).contains(backend_server_id{ "old" }));
@@ -131,10 +132,10 @@
   peer_book book{ instance_id{ "m" } };
   for (char const* const name : { "a", "z" })
     book.OnUp(kNow, Hello(name));
-  book.OnReport(kNow, Hello("z").mLife, { .mReader = instance_id{ "z" } });
+  book.OnReport(kNow, Hello("z").mIdentity, { .mReader = instance_id{ "z" } });
   EXPECT_FALSE(book.HasReader(kNow));
   EXPECT_EQ(book.Rank(kNow), 0U);
-  book.OnReport(kNow, Hello("a").mLife, { .mReader = instance_id{ "a" } });
+  book.OnReport(kNow, Hello("a").mIdentity, { .mReader = instance_id{ "a" } });
   EXPECT_TRUE(book.HasReader(kNow));
   EXPECT_EQ(book.Rank(kNow), 1U);
   EXPECT_FALSE(book.HasReader(kNow + seconds{ 2 }));
@@ -148,11 +149,11 @@
   book.OnUp(kNow, Hello("a"));
   EXPECT_EQ(book.Silent(kNow), 3U);
   book.OnRoster(kNow,
-                Hello("a").mLife,
+                Hello("a").mIdentity,
                 Roster({ { .mHello = Hello("a") },
                          { .mHello = Hello("b") },
                          { .mHello = Hello("m") } }));
-  book.OnReport(kNow, Hello("a").mLife, { .mScope = report_scope::Rest });
+  book.OnReport(kNow, Hello("a").mIdentity, { .mScope = report_scope::Rest });
   EXPECT_EQ(book.Known().Count(), 3U);
   EXPECT_EQ(book.Silent(kNow), 1U);
   EXPECT_EQ(book.Rank(kNow), 2U);
@@ -164,11 +165,11 @@
   peer_book book{ instance_id{ "m" } };
   book.OnUp(kNow, Hello("a"));
   book.OnRoster(kNow,
-                Hello("a").mLife,
+                Hello("a").mIdentity,
                 Roster({ { .mHello = Hello("a"), .mIsReady = true },
                          { .mHello = Hello("b"), .mIsReady = true } }));
-  book.OnReport(kNow, Hello("a").mLife, { .mScope = report_scope::Rest });
-  book.OnDown(kNow, Hello("a").mLife);
+  book.OnReport(kNow, Hello("a").mIdentity, { .mScope = report_scope::Rest });
+  book.OnDown(kNow, Hello("a").mIdentity);
   ASSERT_EQ(book.Entries().size(), 1U);
   EXPECT_EQ(book.Entries()[0].mInstance, instance_id{ "b" });
   book.Prune(kNow + seconds{ 4 });
@@ -181,13 +182,13 @@
 {
   peer_book book{ instance_id{ "m" } };
   book.OnUp(kNow, Hello("a"));
-  book.OnReport(kNow, Hello("a").mLife, Spent(5));
+  book.OnReport(kNow, Hello("a").mIdentity, Spent(5));
   fleet_report rest = Spent(500);
   rest.mScope = report_scope::Rest;
-  book.OnReport(kNow + milliseconds{ 150 }, Hello("a").mLife, rest);
+  book.OnReport(kNow + milliseconds{ 150 }, Hello("a").mIdentity, rest);
   EXPECT_EQ(SpentOf(book), 0);
   rest.mSpent[0].mUnits = 507;
-  book.OnReport(kNow + milliseconds{ 300 }, Hello("a").mLife, rest);
+  book.OnReport(kNow + milliseconds{ 300 }, Hello("a").mIdentity, rest);
   EXPECT_EQ(SpentOf(book), 7);
 }
 
@@ -197,11 +198,11 @@
   for (char const* const name : { "a", "b" })
     book.OnUp(kNow, Hello(name));
   book.OnRoster(kNow,
-                Hello("a").mLife,
+                Hello("a").mIdentity,
                 Roster({ { .mHello = Hello("a") }, { .mHello = Hello("b") } }));
-  book.OnDown(kNow, Hello("b").mLife);
+  book.OnDown(kNow, Hello("b").mIdentity);
   EXPECT_TRUE(book.Known().Away().empty());
-  book.OnDown(kNow, Hello("a").mLife);
+  book.OnDown(kNow, Hello("a").mIdentity);
   EXPECT_EQ(book.Known().Away().size(), 1U);
 }
 
--- a/Tests/LibFleet/TestReportExchange.cpp
+++ b/Tests/LibFleet/TestReportExchange.cpp
@@ -14,7 +14,7 @@
 SpentElsewhere(simulated_fleet::member const& aMember)
 {
   double sum = 0;
-  for (spent_units const& spent : aMember.mBook.Spending().Spent())
+  for (workspace_usage const& spent : aMember.mBook.Spending().Spent())
     sum += spent.mUnits;
   return sum;
 }
--- a/Tests/LibFleet/TestReportLayout.cpp
+++ b/Tests/LibFleet/TestReportLayout.cpp
@@ -18,7 +18,7 @@
     std::string const number = std::to_string(index);
     std::string const domain = std::to_string(index % aDomains);
     fleet.push_back(
-      { .mLife = { .mInstance = instance_id{ "entry-" + number } },
+      { .mIdentity = { .mInstance = instance_id{ "entry-" + number } },
         .mFailureDomain = failure_domain{ "domain-" + domain },
         .mPeers = { .mAddress = "10.0.0.1",
                     .mPort = static_cast<std::uint16_t>(index + 1) },
@@ -43,7 +43,7 @@
 {
   std::map<instance_id, report_layout> layouts;
   for (std::size_t index = 0; index < aFleet.size(); ++index)
-    layouts[aFleet[index].mLife.mInstance] = LayoutOf(aFleet, index);
+    layouts[aFleet[index].mIdentity.mInstance] = LayoutOf(aFleet, index);
   return layouts;
 }
 
@@ -61,13 +61,13 @@
   std::map<instance_id, report_layout> layouts = Layouts(fleet);
   for (peer_hello const& self : fleet) {
     std::optional<instance_id> const parent =
-      layouts[self.mLife.mInstance].mParent;
+      layouts[self.mIdentity.mInstance].mParent;
     if (!parent)
       continue;
     EXPECT_FALSE(layouts[*parent].mParent);
     auto const found =
       std::find_if(fleet.begin(), fleet.end(), [&](peer_hello const& aOther) {
-        return aOther.mLife.mInstance == parent;
+        return aOther.mIdentity.mInstance == parent;
       });
     EXPECT_EQ(found->mFailureDomain, self.mFailureDomain);
   }
@@ -82,7 +82,7 @@
       roots.insert(id);
   }
   for (int index = 0; index < 4; ++index)
-    EXPECT_TRUE(roots.contains(fleet[index].mLife.mInstance));
+    EXPECT_TRUE(roots.contains(fleet[index].mIdentity.mInstance));
   for (instance_id const& root : roots) {
     std::set<instance_id> contacts{ root };
     for (peer_contact const& contact : Layouts(fleet)[root].mContacts)
@@ -116,7 +116,7 @@
   std::vector<peer_hello> larger = fleet;
   for (int index = 0; index < 12; ++index) {
     peer_hello added = fleet[child];
-    added.mLife.mInstance = instance_id{ "new-" + std::to_string(index) };
+    added.mIdentity.mInstance = instance_id{ "new-" + std::to_string(index) };
     added.mCapacity = 900;
     larger.push_back(added);
   }
@@ -135,7 +135,7 @@
         if (other != self && (other * 7 + self * 13 + view) % 4 != 0)
           seen.push_back(fleet[other]);
       }
-      parents[fleet[self].mLife.mInstance] =
+      parents[fleet[self].mIdentity.mInstance] =
         LayOutReports(fleet[self], seen, {}).mParent;
     }
     for (auto const& [id, parent] : parents) {
--- a/Tests/LibFleet/TestServerRegister.cpp
+++ b/Tests/LibFleet/TestServerRegister.cpp
@@ -13,11 +13,11 @@
 backend_server_id const kServer{ "s" };
 model_name const kModel{ "m" };
 
-listed_server
-Entry(std::uint64_t aLife, std::uint64_t aVersion = 1)
+registered_server
+Entry(std::uint64_t aIncarnation, std::uint64_t aVersion = 1)
 {
   return { .mId = kServer,
-           .mLife = incarnation{ aLife },
+           .mIncarnation = incarnation{ aIncarnation },
            .mModels = { { .mModel = kModel, .mVersion = aVersion } } };
 }
 
@@ -60,7 +60,7 @@
   server_register known;
   known.OnEntry(Entry(2, 1));
   known.OnEntry(Entry(1, 9));
-  EXPECT_EQ(known.Servers()[0].mLife, incarnation{ 2 });
+  EXPECT_EQ(known.Servers()[0].mIncarnation, incarnation{ 2 });
   EXPECT_EQ(known.Servers()[0].VersionOf(kModel), 1U);
 }
 
--- a/Tests/LibFleet/TestTurnoverPlan.cpp
+++ b/Tests/LibFleet/TestTurnoverPlan.cpp
@@ -12,19 +12,19 @@
 instant const kNow = instant{} + seconds{ 100 };
 model_name const kModel{ "m" };
 
-std::vector<listed_server>
+std::vector<registered_server>
 Servers(std::size_t aCount)
 {
-  std::vector<listed_server> servers;
+  std::vector<registered_server> servers;
   for (std::size_t index = 0; index < aCount; ++index)
     servers.push_back({ .mId = backend_server_id{ std::to_string(index) },
-                        .mLife = incarnation{ 1 },
+                        .mIncarnation = incarnation{ 1 },
                         .mPool = pool_name{ "p" },
                         .mModels = { { .mModel = kModel, .mVersion = 1 } } });
   return servers;
 }
 
-std::vector<named_weights>
+std::vector<target_weights>
 Named(std::uint64_t aVersion)
 {
   return { { .mModel = kModel,
@@ -43,7 +43,7 @@
 TEST(TestTurnoverPlan, APartOfThePoolTurnsAtATime)
 {
   turnover_plan plan{ kTiming };
-  std::vector<listed_server> servers = Servers(6);
+  std::vector<registered_server> servers = Servers(6);
   plan.Update(kNow, servers, Named(2));
   EXPECT_EQ(plan.Turning().size(), 3U);
   servers[0].mModels[0].mVersion = 2;
@@ -64,7 +64,7 @@
 TEST(TestTurnoverPlan, AnOrderFollowsNoticeAndQuestion)
 {
   turnover_plan plan{ kTiming };
-  std::vector<listed_server> const servers = Servers(1);
+  std::vector<registered_server> const servers = Servers(1);
   plan.Update(kNow, servers, Named(2));
   EXPECT_EQ(plan.DueQuestions(kNow).size(), 1U);
   plan.OnAsked(kNow, servers[0].mId);
@@ -81,7 +81,7 @@
 TEST(TestTurnoverPlan, AnOrderWithoutEffectIsRepeated)
 {
   turnover_plan plan{ kTiming };
-  std::vector<listed_server> const servers = Servers(1);
+  std::vector<registered_server> const servers = Servers(1);
   plan.Update(kNow, servers, Named(2));
   plan.OnReport(kNow, servers[0].mId, { .mOrders = 0 });
   plan.OnOrdered(kNow, servers[0].mId);
@@ -97,7 +97,7 @@
 TEST(TestTurnoverPlan, ABusyEngineIsAskedAnew)
 {
   turnover_plan plan{ kTiming };
-  std::vector<listed_server> const servers = Servers(1);
+  std::vector<registered_server> const servers = Servers(1);
   plan.Update(kNow, servers, Named(2));
   plan.OnReport(kNow, servers[0].mId, { .mOrders = 0 });
   plan.OnOrdered(kNow, servers[0].mId);
@@ -110,7 +110,7 @@
 TEST(TestTurnoverPlan, AServerWhoseAddressIsAnothersHoldsNoPlace)
 {
   turnover_plan plan{ kTiming };
-  std::vector<listed_server> const servers = Servers(1);
+  std::vector<registered_server> const servers = Servers(1);
   plan.Update(kNow, servers, Named(2));
   plan.OnAnswer(kNow, servers[0].mId, order_answer::Misdirected);
   EXPECT_TRUE(plan.IsIdle());
@@ -119,10 +119,10 @@
 TEST(TestTurnoverPlan, ARestartedOrLeavingServerEndsItsTurn)
 {
   turnover_plan plan{ kTiming };
-  std::vector<listed_server> servers = Servers(2);
+  std::vector<registered_server> servers = Servers(2);
   plan.Update(kNow, servers, Named(2));
   ASSERT_EQ(plan.Turning().size(), 1U);
-  for (listed_server& server : servers)
+  for (registered_server& server : servers)
     server.mStage = server_stage::Leaving;
   plan.Update(kNow, servers, Named(2));
   EXPECT_TRUE(plan.IsIdle());
@@ -131,7 +131,7 @@
 TEST(TestTurnoverPlan, TheOldestWeightsTurnFirst)
 {
   turnover_plan plan{ { .mFirstPart = 0.3, .mLaterPart = 0.3 } };
-  std::vector<listed_server> servers = Servers(3);
+  std::vector<registered_server> servers = Servers(3);
   servers[0].mModels[0].mVersion = 2;
   servers[1].mModels[0].mVersion = 2;
   plan.Update(kNow, servers, Named(3));
--- a/Tests/LibGateway/GatewayFixture.h
+++ b/Tests/LibGateway/GatewayFixture.h
@@ -49,7 +49,7 @@
 }
 
 inline dispatch_route
-Route(char const* aPrefix, work_kind aKind, std::uint32_t aAttempts)
+Route(char const* aPrefix, request_kind aKind, std::uint32_t aAttempts)
 {
   return { .mName = route_name{ aPrefix },
            .mHost = "h",
@@ -59,7 +59,7 @@
            .mTimeout = std::chrono::seconds{ 2 },
            .mTargetLatency = std::chrono::milliseconds{ 400 },
            .mMaxAttempts = aAttempts,
-           .mIsResumable = aKind == work_kind::Stream && aAttempts > 1 };
+           .mIsResumable = aKind == request_kind::Stream && aAttempts > 1 };
 }
 
 /// A gateway before scripted servers, and a caller's connection to it.
@@ -75,10 +75,10 @@
     view->mConfig = std::make_shared<dispatch_config const>(
       1,
       std::vector<dispatch_route>{
-        Route("/safe/", work_kind::Idempotent, 2),
-        Route("/once/", work_kind::NonIdempotent, 1),
-        Route("/stream/", work_kind::Stream, 2),
-        Route("/single/", work_kind::Stream, 1),
+        Route("/safe/", request_kind::Idempotent, 2),
+        Route("/once/", request_kind::NonIdempotent, 1),
+        Route("/stream/", request_kind::Stream, 2),
+        Route("/single/", request_kind::Stream, 1),
       },
       std::vector<dispatch_pool>{ { .mName = pool_name{ "p" } } },
       std::vector<dispatch_workspace>{
--- a/Tests/LibGateway/TestRunDecisions.cpp
+++ b/Tests/LibGateway/TestRunDecisions.cpp
@@ -39,7 +39,7 @@
 class TestRunLimits : public testing::Test
 {
 protected:
-  dispatch_route mRoute{ .mKind = work_kind::Idempotent,
+  dispatch_route mRoute{ .mKind = request_kind::Idempotent,
                          .mTargetLatency = milliseconds{ 80 },
                          .mMaxAttempts = 2 };
   admitted_request mRows{ .mRoute = &mRoute,
@@ -53,7 +53,7 @@
   mTrace.mSends = 2;
   EXPECT_FALSE(MayRepeat(mRows, mTrace, kNow));
   mTrace.mSends = 1;
-  mRoute.mKind = work_kind::NonIdempotent;
+  mRoute.mKind = request_kind::NonIdempotent;
   EXPECT_FALSE(MayRepeat(mRows, mTrace, kNow));
 }
 
@@ -66,7 +66,7 @@
 
 TEST_F(TestRunLimits, WhatHasNotRunMayGoToTwoMore)
 {
-  mRoute.mKind = work_kind::NonIdempotent;
+  mRoute.mKind = request_kind::NonIdempotent;
   mTrace.mSends = 3;
   EXPECT_TRUE(MaySendElsewhere(mRows, mTrace));
   mTrace.mSends = 4;
--- a/Tests/LibLimits/TestSlotRelease.cpp
+++ b/Tests/LibLimits/TestSlotRelease.cpp
@@ -7,7 +7,7 @@
 
 using std::chrono::milliseconds;
 
-instance_life const kSelf{ instance_id{ "new" }, incarnation{ 4 } };
+instance_identity const kSelf{ instance_id{ "new" }, incarnation{ 4 } };
 instant const kReadAt{ std::chrono::seconds{ 100 } };
 
 /// Slot 1 passed from "old" to this instance with offset 9.
@@ -24,7 +24,7 @@
   return fold;
 }
 
-standing_word
+quorum_answer
 Word(char const* aFrom,
      std::uint64_t aSlot,
      instant aProbeSentAt,
--- a/Tests/LibLimits/VirtualFleet.cpp
+++ b/Tests/LibLimits/VirtualFleet.cpp
@@ -21,7 +21,7 @@
 {
   mMembers.resize(mOptions.mInstances);
   for (std::size_t i = 0; i < mMembers.size(); ++i) {
-    mMembers[i].mLife.mInstance = instance_id{ "i" + std::to_string(i) };
+    mMembers[i].mIdentity.mInstance = instance_id{ "i" + std::to_string(i) };
     mMembers[i].mClockOffset = RandomTime(seconds{ 0 }, seconds{ 5000 });
     Start(i);
     duration const phase = RandomTime(duration{ 0 }, kStepInterval);
@@ -78,11 +78,11 @@
 virtual_fleet::Start(std::size_t aMember)
 {
   member& started = mMembers[aMember];
-  started.mLife.mIncarnation = started.mLife.mIncarnation.Next();
+  started.mIdentity.mIncarnation = started.mIdentity.mIncarnation.Next();
   started.mIsUp = true;
   started.mNextEntry = 0;
   started.mBudget = std::make_unique<fleet_budget>(
-    started.mLife, mOptions.mLayout, mOptions.mTiming, mOptions.mTakeover);
+    started.mIdentity, mOptions.mLayout, mOptions.mTiming, mOptions.mTakeover);
   started.mBudget->OnLimits(LocalNow(started), mOptions.mRow);
   // A start takes what some peer has folded; the log brings the rest.
   std::size_t const peer =
@@ -117,11 +117,11 @@
   // The answer shows the tail as it was when the log handled the question.
   std::size_t const tail = mLog.size();
   instant const askedAt = LocalNow(self);
-  incarnation const life = self.mLife.mIncarnation;
+  incarnation const current = self.mIdentity.mIncarnation;
   duration const delay = RandomTime(milliseconds{ 1 }, milliseconds{ 40 });
-  At(mNow + delay, [this, aMember, tail, askedAt, life]() {
+  At(mNow + delay, [this, aMember, tail, askedAt, current]() {
     member& reader = mMembers[aMember];
-    if (!IsRunning(aMember) || reader.mLife.mIncarnation != life)
+    if (!IsRunning(aMember) || reader.mIdentity.mIncarnation != current)
       return;
     FoldUpTo(reader, tail);
     reader.mBudget->OnTailRead(askedAt, log_offset{ tail });
@@ -150,7 +150,7 @@
   std::vector<instance_id> live;
   for (member const& other : mMembers) {
     if (other.mIsUp && mNow >= other.mHiddenUntil)
-      live.push_back(other.mLife.mInstance);
+      live.push_back(other.mIdentity.mInstance);
   }
   self.mBudget->OnInstanceList(LocalNow(self), live);
 }
@@ -176,7 +176,7 @@
 virtual_fleet::Send(std::size_t aFrom, budget_envelope aEnvelope)
 {
   auto const isTarget = [&aEnvelope](member const& aMember) {
-    return aMember.mLife.mInstance == aEnvelope.mTo;
+    return aMember.mIdentity.mInstance == aEnvelope.mTo;
   };
   auto const found = std::ranges::find_if(mMembers, isTarget);
   if (found == mMembers.end())
@@ -188,24 +188,26 @@
   duration const delay = to == aFrom
                            ? duration{ 0 }
                            : RandomTime(milliseconds{ 1 }, milliseconds{ 4 });
-  std::uint64_t const life = found->mLife.mIncarnation.Value();
-  At(mNow + delay, [this, to, life, message = std::move(aEnvelope.mMessage)]() {
-    Deliver(to, life, message);
-  });
+  std::uint64_t const current = found->mIdentity.mIncarnation.Value();
+  At(mNow + delay,
+     [this, to, current, message = std::move(aEnvelope.mMessage)]() {
+       Deliver(to, current, message);
+     });
 }
 
 void
 virtual_fleet::Deliver(std::size_t aTo,
-                       std::uint64_t aLife,
+                       std::uint64_t aIncarnation,
                        budget_message const& aMessage)
 {
   member& target = mMembers[aTo];
-  if (!target.mIsUp || target.mLife.mIncarnation.Value() != aLife)
+  if (!target.mIsUp || target.mIdentity.mIncarnation.Value() != aIncarnation)
     return;
   // What came during a pause is read after it.
   if (mNow < target.mPausedUntil) {
-    At(target.mPausedUntil,
-       [this, aTo, aLife, aMessage]() { Deliver(aTo, aLife, aMessage); });
+    At(target.mPausedUntil, [this, aTo, aIncarnation, aMessage]() {
+      Deliver(aTo, aIncarnation, aMessage);
+    });
     return;
   }
   token_count const before = target.mBudget->Counters().mTokensRefunded;
@@ -214,8 +216,8 @@
   mReference.Refund(mNow, target.mBudget->Counters().mTokensRefunded - before);
   mOpened += target.mBudget->Counters().mSlotsOpened - opened;
   // A peer that is behind takes the missing entries from one that is ahead.
-  standing_word const* const word = std::get_if<standing_word>(&aMessage);
-  if (word != nullptr && word->mTo == target.mLife)
+  quorum_answer const* const word = std::get_if<quorum_answer>(&aMessage);
+  if (word != nullptr && word->mTo == target.mIdentity)
     FoldUpTo(target, std::min(word->mFolded.Value(), mLog.size()));
   Flush(aTo);
 }
@@ -245,12 +247,12 @@
   token_count const used = std::uniform_int_distribution<token_count>{
     tokens * mOptions.mLeastUsed / 100, tokens
   }(mRandom);
-  incarnation const life = mMembers[aMember].mLife.mIncarnation;
+  incarnation const current = mMembers[aMember].mIdentity.mIncarnation;
   duration const span = RandomTime(milliseconds{ 50 }, seconds{ 3 });
   charge_id const charge = aDecision.mCharge;
-  At(mNow + span, [this, aMember, life, charge, used]() {
+  At(mNow + span, [this, aMember, current, charge, used]() {
     member& self = mMembers[aMember];
-    if (!IsRunning(aMember) || self.mLife.mIncarnation != life)
+    if (!IsRunning(aMember) || self.mIdentity.mIncarnation != current)
       return;
     self.mBudget->Settle(charge, used);
     Flush(aMember);
--- a/Tests/LibLimits/VirtualFleet.h
+++ b/Tests/LibLimits/VirtualFleet.h
@@ -67,7 +67,7 @@
 private:
   struct member
   {
-    instance_life mLife;
+    instance_identity mIdentity;
     bool mIsUp = false;
     instant mPausedUntil;
     instant mHiddenUntil;
@@ -97,7 +97,7 @@
   void Append(slot_claim aClaim);
   void Send(std::size_t aFrom, budget_envelope aEnvelope);
   void Deliver(std::size_t aTo,
-               std::uint64_t aLife,
+               std::uint64_t aIncarnation,
                budget_message const& aMessage);
   void Flush(std::size_t aMember);
   void Decide(std::size_t aMember, charge_decision const& aDecision);
--- a/Tests/LibLimits/VirtualFleetFaults.cpp
+++ b/Tests/LibLimits/VirtualFleetFaults.cpp
@@ -13,8 +13,8 @@
   crashed.mIsUp = false;
   crashed.mBudget.reset();
   if (aRenamed) {
-    std::string const name = crashed.mLife.mInstance.Text() + "x";
-    crashed.mLife.mInstance = instance_id{ name };
+    std::string const name = crashed.mIdentity.mInstance.Text() + "x";
+    crashed.mIdentity.mInstance = instance_id{ name };
   }
   At(mNow + aDowntime, [this, aMember]() { Start(aMember); });
 }
--- a/Tests/LibMembership/MakeMembers.h
+++ b/Tests/LibMembership/MakeMembers.h
@@ -15,8 +15,8 @@
   std::vector<member> members;
   for (std::size_t i = 0; i < aCount; ++i)
     members.push_back(
-      { .mLife = { .mInstance = instance_id{ "i" + std::to_string(i) },
-                   .mIncarnation = incarnation{ 1 } },
+      { .mIdentity = { .mInstance = instance_id{ "i" + std::to_string(i) },
+                       .mIncarnation = incarnation{ 1 } },
         .mFailureDomain =
           failure_domain{ "d" + std::to_string(i % aDomains) } });
   return members;
--- a/Tests/LibMembership/TestFreshness.cpp
+++ b/Tests/LibMembership/TestFreshness.cpp
@@ -214,7 +214,7 @@
 TEST(TestFreshness, ALoneInstanceWaitsForTheLogAfterAPause)
 {
   instance_id const self{ "a" };
-  member const only{ .mLife = { self, incarnation{ 1 } } };
+  member const only{ .mIdentity = { self, incarnation{ 1 } } };
   std::vector<member> const members{ only };
   freshness_options const options;
   instant now{};
@@ -246,7 +246,7 @@
   freshness own{ instance_id{ "i0" }, {}, now };
   own.OnPeerSign({ .mPeer = instance_id{ "i1" },
                    .mEchoedSentAt = now + seconds{ 1 },
-                   .mTail = tail_sign{} },
+                   .mTail = tail_observation{} },
                  now);
   EXPECT_FALSE(own.Tail(now).has_value());
 }
--- a/Tests/LibMembership/TestMemberTable.cpp
+++ b/Tests/LibMembership/TestMemberTable.cpp
@@ -18,14 +18,15 @@
     std::vector<member> const usable = mTable.Usable();
     return std::any_of(
       usable.begin(), usable.end(), [&](member const& aMember) {
-        return aMember.mLife.mInstance == mMembers[aInstance].mLife.mInstance;
+        return aMember.mIdentity.mInstance ==
+               mMembers[aInstance].mIdentity.mInstance;
       });
   }
 
   [[nodiscard]] member Restarted(std::size_t aInstance) const
   {
     member next = mMembers[aInstance];
-    next.mLife.mIncarnation = incarnation{ 2 };
+    next.mIdentity.mIncarnation = incarnation{ 2 };
     return next;
   }
 
@@ -45,11 +46,11 @@
 {
   mTable.SetList(mMembers, mNow);
   mTable.OnPeerUp(mMembers[1]);
-  mTable.OnLeaving(mMembers[1].mLife);
+  mTable.OnLeaving(mMembers[1].mIdentity);
   mTable.SetList(mMembers, mNow);
   EXPECT_FALSE(IsUsable(1));
   mTable.OnPeerUp(mMembers[2]);
-  mTable.OnPeerDown(mMembers[2].mLife, mNow);
+  mTable.OnPeerDown(mMembers[2].mIdentity, mNow);
   mTable.SetList(mMembers, mNow);
   EXPECT_FALSE(IsUsable(2));
   mTable.OnPeerUp(mMembers[2]);
@@ -59,17 +60,18 @@
 TEST_F(member_table_test, WordOfAnOlderLifeIsDropped)
 {
   mTable.OnPeerUp(Restarted(1));
-  mTable.OnPeerDown(mMembers[1].mLife, mNow);
-  mTable.OnLeaving(mMembers[1].mLife);
+  mTable.OnPeerDown(mMembers[1].mIdentity, mNow);
+  mTable.OnLeaving(mMembers[1].mIdentity);
   mTable.SetList(mMembers, mNow);
   EXPECT_TRUE(IsUsable(1));
-  EXPECT_EQ(mTable.LifeOf(mMembers[1].mLife.mInstance), Restarted(1).mLife);
+  EXPECT_EQ(mTable.IdentityOf(mMembers[1].mIdentity.mInstance),
+            Restarted(1).mIdentity);
 }
 
 TEST_F(member_table_test, ARestartEndsLeaving)
 {
   mTable.SetList(mMembers, mNow);
-  mTable.OnLeaving(mMembers[1].mLife);
+  mTable.OnLeaving(mMembers[1].mIdentity);
   mTable.OnPeerUp(Restarted(1));
   EXPECT_TRUE(IsUsable(1));
 }
@@ -80,7 +82,7 @@
   mTable.OnPeerUp(mMembers[3]);
   mTable.SetList(others, mNow);
   EXPECT_TRUE(IsUsable(3));
-  mTable.OnPeerDown(mMembers[3].mLife, mNow);
+  mTable.OnPeerDown(mMembers[3].mIdentity, mNow);
   mTable.SetList(others, mNow + seconds{ 29 });
   EXPECT_EQ(mTable.Members().size(), 4u);
   mTable.SetList(others, mNow + seconds{ 30 });
--- a/Tests/LibMembership/TestPeerSelection.cpp
+++ b/Tests/LibMembership/TestPeerSelection.cpp
@@ -23,8 +23,8 @@
 {
   link_map links;
   for (member const& self : aMembers)
-    links[self.mLife.mInstance] =
-      SelectPeers(self.mLife.mInstance, aMembers, aOptions);
+    links[self.mIdentity.mInstance] =
+      SelectPeers(self.mIdentity.mInstance, aMembers, aOptions);
   return links;
 }
 
@@ -50,7 +50,7 @@
 {
   std::set<instance_id> names;
   for (member const& each : aMembers)
-    names.insert(each.mLife.mInstance);
+    names.insert(each.mIdentity.mInstance);
   return names;
 }
 
@@ -65,7 +65,7 @@
   failure_domain const lost{ "d" + std::to_string(aLostDomain) };
   for (member const& each : aMembers) {
     if (each.mFailureDomain != lost && tenth(aRandom) != 0)
-      names.insert(each.mLife.mInstance);
+      names.insert(each.mIdentity.mInstance);
   }
   return names;
 }
--- a/Tests/LibMembership/VirtualFleet.h
+++ b/Tests/LibMembership/VirtualFleet.h
@@ -58,7 +58,7 @@
     , mBound(aBound)
   {
     for (member const& self : mMembers)
-      mNodes.push_back(MakeNode(self.mLife.mInstance));
+      mNodes.push_back(MakeNode(self.mIdentity.mInstance));
   }
 
   void Step()
@@ -114,8 +114,8 @@
     instant mSentAt{};
     std::optional<instant> mEcho;
     log_offset mApplied;
-    std::optional<tail_sign> mTail;
-    std::vector<domain_sign> mDomains;
+    std::optional<tail_observation> mTail;
+    std::vector<domain_observation> mDomains;
   };
 
   node MakeNode(instance_id const& aName)
@@ -124,7 +124,7 @@
     node made{ .mFreshness = freshness{ aName, options, mNow } };
     made.mLinked = SelectPeers(aName, mMembers, {});
     for (std::size_t i = 0; i < mMembers.size(); ++i) {
-      instance_id const& other = mMembers[i].mLife.mInstance;
+      instance_id const& other = mMembers[i].mIdentity.mInstance;
       if (std::binary_search(made.mLinked.begin(), made.mLinked.end(), other))
         made.mPeers.push_back(i);
     }
@@ -193,7 +193,7 @@
       return;
     member const& peer = mMembers[aMessage.mFrom];
     self.mFreshness.OnPeerSign(
-      { .mPeer = peer.mLife.mInstance,
+      { .mPeer = peer.mIdentity.mInstance,
         .mDomain = DomainCode(peer.mFailureDomain),
         .mEchoedSentAt = mSignTime == sign_time::Echo ? *aMessage.mEcho : mNow,
         .mTail = aMessage.mTail,
--- a/Tests/LibOnce/PoisonFleet.h
+++ b/Tests/LibOnce/PoisonFleet.h
@@ -29,9 +29,9 @@
     , mLoss(aLoss)
   {
     for (std::size_t i = 0; i < kInstances; ++i) {
-      mMembers[i].mLife = { instance_id{ "i" + std::to_string(i) },
-                            incarnation{ 1 } };
-      mNames.push_back(mMembers[i].mLife.mInstance);
+      mMembers[i].mIdentity = { instance_id{ "i" + std::to_string(i) },
+                                incarnation{ 1 } };
+      mNames.push_back(mMembers[i].mIdentity.mInstance);
     }
     for (std::size_t i = 0; i < kServers; ++i)
       mServerNames.emplace_back("s" + std::to_string(i));
@@ -66,7 +66,7 @@
 
   struct member
   {
-    instance_life mLife;
+    instance_identity mIdentity;
     run_guard mGuard{ {} };
     permit_home mHome{ {}, {} };
     poison_table mTable{ {} };
@@ -88,9 +88,9 @@
     return digest::Of("body" + std::to_string(aNumber));
   }
 
-  server_life LifeOf(backend_server_id const& aServer)
+  server_identity IdentityOf(backend_server_id const& aServer)
   {
-    return { aServer, incarnation{ mServers[aServer].mLife } };
+    return { aServer, incarnation{ mServers[aServer].mIncarnation } };
   }
 
   void Later(std::function<void()> aAction)
@@ -100,9 +100,10 @@
 
   void Restart(std::size_t aMember)
   {
-    instance_life const old = mMembers[aMember].mLife;
+    instance_identity const old = mMembers[aMember].mIdentity;
     poison_table const table = mMembers[(aMember + 1) % kInstances].mTable;
-    mMembers[aMember] = { .mLife = { old.mInstance, old.mIncarnation.Next() },
+    mMembers[aMember] = { .mIdentity = { old.mInstance,
+                                         old.mIncarnation.Next() },
                           .mHome = permit_home{ mNow, {} },
                           .mTable = table };
     for (member& other : mMembers) {
@@ -126,16 +127,16 @@
       FallbackServer(fingerprint, mServerNames);
     backend_server_id const chosen = mServerNames[mRandom() % kServers];
     member& sender = mMembers[who];
-    run_ask const ask{ .mFrom = sender.mLife,
+    run_ask const ask{ .mFrom = sender.mIdentity,
                        .mRequest =
                          request_id{ "r" + std::to_string(++mRequests) },
                        .mFingerprint = fingerprint,
-                       .mServer = LifeOf(chosen),
+                       .mServer = IdentityOf(chosen),
                        .mFallback = fallback };
     mFingerprints[ask.mRequest] = fingerprint;
     sender.mGuard.Begin(mNow,
                         { .mAsk = ask,
-                          .mFallback = LifeOf(fallback),
+                          .mFallback = IdentityOf(fallback),
                           .mDeadline = mNow + seconds{ 1 } },
                         sender.mTable);
   }
@@ -146,7 +147,7 @@
       FallbackServer(aFingerprint, mServerNames);
     instance_id const home = PermitHomeOf(fallback, mNames);
     return *std::ranges::find_if(mMembers, [&home](member const& aMember) {
-      return aMember.mLife.mInstance == home;
+      return aMember.mIdentity.mInstance == home;
     });
   }
 
@@ -192,13 +193,13 @@
     }
     poison_server& target = mServers[aDecision.mServer->mServer];
     if (mNow < target.mUpAt ||
-        aDecision.mServer->mIncarnation.Value() != target.mLife) {
+        aDecision.mServer->mIncarnation.Value() != target.mIncarnation) {
       mMembers[aMember].mGuard.End(id, run_result::Unknown);
       return;
     }
     poison_run const run{
       .mMember = aMember,
-      .mLife = mMembers[aMember].mLife,
+      .mIdentity = mMembers[aMember].mIdentity,
       .mRequest = id,
       .mFingerprint = mFingerprints.at(id),
       .mIsSuspect =
@@ -207,10 +208,10 @@
     NoteSuspects(target, run);
     target.mRunning[id] = run;
     backend_server_id const name = aDecision.mServer->mServer;
-    std::uint64_t const life = target.mLife;
+    std::uint64_t const current = target.mIncarnation;
     duration const span = isPoison ? Time(5, 150) : Time(20, 300);
-    mEvents.emplace(mNow + span, [this, name, life, id, isPoison]() {
-      if (mServers[name].mLife != life)
+    mEvents.emplace(mNow + span, [this, name, current, id, isPoison]() {
+      if (mServers[name].mIncarnation != current)
         return;
       if (isPoison)
         CrashServer(name);
@@ -233,7 +234,7 @@
     poison_run const done = mServers[aServer].mRunning.at(aId);
     mServers[aServer].mRunning.erase(aId);
     ++mCompleted;
-    if (mMembers[done.mMember].mLife == done.mLife)
+    if (mMembers[done.mMember].mIdentity == done.mIdentity)
       mMembers[done.mMember].mGuard.End(aId, run_result::Completed);
   }
 
@@ -241,16 +242,16 @@
   {
     ++mCrashes;
     poison_server& crashed = mServers[aServer];
-    server_life const life = LifeOf(aServer);
+    server_identity const identity = IdentityOf(aServer);
     std::map<request_id, poison_run> const lost =
       std::exchange(crashed.mRunning, {});
-    ++crashed.mLife;
+    ++crashed.mIncarnation;
     crashed.mUpAt = mNow + Time(200, 600);
     // Each instance comes to see the server's new life.
-    Broadcast({ .mServer = life });
+    Broadcast({ .mServer = identity });
     for (auto const& entry : lost)
       Later([this, run = entry.second]() {
-        if (mMembers[run.mMember].mLife == run.mLife)
+        if (mMembers[run.mMember].mIdentity == run.mIdentity)
           mMembers[run.mMember].mGuard.End(run.mRequest, run_result::Crashed);
       });
   }
--- a/Tests/LibOnce/PoisonRun.h
+++ b/Tests/LibOnce/PoisonRun.h
@@ -2,7 +2,7 @@
 
 #include <LibCore/Digest.h>
 #include <LibCore/Identifiers.h>
-#include <LibCore/InstanceLife.h>
+#include <LibCore/InstanceIdentity.h>
 
 #include <cstddef>
 
@@ -12,7 +12,7 @@
 struct poison_run
 {
   std::size_t mMember = 0;
-  instance_life mLife;
+  instance_identity mIdentity;
   request_id mRequest;
   digest mFingerprint;
   bool mIsSuspect = false;
--- a/Tests/LibOnce/PoisonServer.h
+++ b/Tests/LibOnce/PoisonServer.h
@@ -8,10 +8,10 @@
 
 namespace lycheeseam {
 
-/// A server of a poison_fleet: its life, and what it runs.
+/// A server of a poison_fleet: its incarnation, and what it runs.
 struct poison_server
 {
-  std::uint64_t mLife = 1;
+  std::uint64_t mIncarnation = 1;
   instant mUpAt;
   std::map<request_id, poison_run> mRunning;
 };
--- a/Tests/LibOnce/TestClaimBatcher.cpp
+++ b/Tests/LibOnce/TestClaimBatcher.cpp
@@ -8,7 +8,7 @@
 using std::chrono::milliseconds;
 
 instant const kNow{ std::chrono::seconds{ 9 } };
-instance_life const kSelf{ instance_id{ "a" }, incarnation{ 1 } };
+instance_identity const kSelf{ instance_id{ "a" }, incarnation{ 1 } };
 
 TEST(TestClaimBatcher, GathersClaimsForItsDelay)
 {
--- a/Tests/LibOnce/TestOnceGate.cpp
+++ b/Tests/LibOnce/TestOnceGate.cpp
@@ -58,7 +58,7 @@
 private:
   struct member
   {
-    instance_life mLife;
+    instance_identity mIdentity;
     std::size_t mNext = 0;
     instant mPausedUntil;
     std::unique_ptr<once_gate> mGate;
@@ -75,20 +75,21 @@
                                                              aMost }(mRandom) };
   }
 
-  bool IsAlive(instance_life const& aLife) const
+  bool IsAlive(instance_identity const& aIdentity) const
   {
-    return std::ranges::any_of(
-      mMembers, [&](member const& aMember) { return aMember.mLife == aLife; });
+    return std::ranges::any_of(mMembers, [&](member const& aMember) {
+      return aMember.mIdentity == aIdentity;
+    });
   }
 
   void Start(std::size_t aMember)
   {
     member& started = mMembers[aMember];
-    started.mLife = { instance_id{ "i" + std::to_string(aMember) },
-                      started.mLife.mIncarnation.Next() };
+    started.mIdentity = { instance_id{ "i" + std::to_string(aMember) },
+                          started.mIdentity.mIncarnation.Next() };
     started.mNext = 0;
     started.mGate = std::make_unique<once_gate>(
-      started.mLife, batch_limits{}, claim_window{});
+      started.mIdentity, batch_limits{}, claim_window{});
   }
 
   void Crash()
@@ -119,9 +120,10 @@
     target.mGate->Begin(mNow, request, log, Liveness());
   }
 
-  std::function<bool(instance_life const&)> Liveness()
+  std::function<bool(instance_identity const&)> Liveness()
   {
-    return [this](instance_life const& aLife) { return IsAlive(aLife); };
+    return
+      [this](instance_identity const& aIdentity) { return IsAlive(aIdentity); };
   }
 
   void Step(std::size_t aMember)
@@ -166,43 +168,46 @@
       mToldNotRun.insert(id);
     if (aDecision.mAction != once_action::Run)
       return;
-    incarnation const life = mMembers[aMember].mLife.mIncarnation;
-    mEvents.emplace(mNow + Time(0, 5), [this, aMember, id, life]() {
-      Dispatch(aMember, id, life);
+    incarnation const current = mMembers[aMember].mIdentity.mIncarnation;
+    mEvents.emplace(mNow + Time(0, 5), [this, aMember, id, current]() {
+      Dispatch(aMember, id, current);
     });
   }
 
-  void Dispatch(std::size_t aMember, request_id const& aId, incarnation aLife)
+  void Dispatch(std::size_t aMember,
+                request_id const& aId,
+                incarnation aIncarnation)
   {
     member& self = mMembers[aMember];
-    if (self.mLife.mIncarnation != aLife)
+    if (self.mIdentity.mIncarnation != aIncarnation)
       return;
     if (mNow < self.mPausedUntil) {
-      mEvents.emplace(self.mPausedUntil, [this, aMember, aId, aLife]() {
-        Dispatch(aMember, aId, aLife);
+      mEvents.emplace(self.mPausedUntil, [this, aMember, aId, aIncarnation]() {
+        Dispatch(aMember, aId, aIncarnation);
       });
       return;
     }
     bool const isRefused = Chance(0.2);
     if (!self.mGate->MayDispatch(mNow, aId) || isRefused) {
-      End(aMember, aId, aLife, verdict::NotRun);
+      End(aMember, aId, aIncarnation, verdict::NotRun);
       return;
     }
     ++mRuns[mKeys.at(aId)];
     mUntrueNotRuns += mToldNotRun.contains(aId) ? 1 : 0;
     verdict const end = Chance(0.2) ? verdict::MayHaveRun : verdict::Ran;
-    mEvents.emplace(mNow + Time(5, 400), [this, aMember, aId, aLife, end]() {
-      End(aMember, aId, aLife, end);
-    });
+    mEvents.emplace(mNow + Time(5, 400),
+                    [this, aMember, aId, aIncarnation, end]() {
+                      End(aMember, aId, aIncarnation, end);
+                    });
   }
 
   void End(std::size_t aMember,
            request_id const& aId,
-           incarnation aLife,
+           incarnation aIncarnation,
            verdict aVerdict)
   {
     member& self = mMembers[aMember];
-    if (self.mLife.mIncarnation == aLife)
+    if (self.mIdentity.mIncarnation == aIncarnation)
       self.mGate->End(mNow, aId, { .mVerdict = aVerdict });
   }
 
@@ -244,7 +249,7 @@
 TEST(TestOnceGate, WithoutAKeyNoClaimIsMade)
 {
   once_gate gate{ { instance_id{ "a" }, incarnation{ 1 } }, {}, {} };
-  auto const nobody = [](instance_life const&) { return false; };
+  auto const nobody = [](instance_identity const&) { return false; };
   instant const now{ seconds{ 1 } };
   gate.Begin(
     now,
@@ -258,7 +263,7 @@
 TEST(TestOnceGate, RefusesAsNotRunWhileTheLogIsOut)
 {
   once_gate gate{ { instance_id{ "a" }, incarnation{ 1 } }, {}, {} };
-  auto const nobody = [](instance_life const&) { return false; };
+  auto const nobody = [](instance_identity const&) { return false; };
   gate.Begin(
     instant{ seconds{ 1 } },
     { .mId = request_id{ "r" },
--- a/Tests/LibOrders/TestLeaseHolder.cpp
+++ b/Tests/LibOrders/TestLeaseHolder.cpp
@@ -56,7 +56,7 @@
 private:
   struct member
   {
-    instance_life mLife;
+    instance_identity mIdentity;
     instant mPausedUntil;
     std::size_t mNext = 0;
     lease_fold mFold;
@@ -77,12 +77,12 @@
   void Start(std::size_t aMember)
   {
     member& started = mMembers[aMember];
-    started.mLife = { instance_id{ "i" + std::to_string(aMember) },
-                      started.mLife.mIncarnation.Next() };
+    started.mIdentity = { instance_id{ "i" + std::to_string(aMember) },
+                          started.mIdentity.mIncarnation.Next() };
     started.mNext = 0;
     started.mFold = {};
     started.mHolder = std::make_unique<lease_holder>(
-      started.mLife, pool_name{ "assistant" }, lease_timing{});
+      started.mIdentity, pool_name{ "assistant" }, lease_timing{});
   }
 
   void Step(std::size_t aMember)
@@ -120,7 +120,7 @@
     ++mObeyed;
   }
 
-  instance_life HolderOf(fencing_number aOrder)
+  instance_identity HolderOf(fencing_number aOrder)
   {
     log_entry const& entry = mLog[aOrder.Value() - 1];
     record_origin const& origin = std::get<lease_grant>(entry.mRecord).mOrigin;
--- a/Tests/LibPeer/HubPeer.h
+++ b/Tests/LibPeer/HubPeer.h
@@ -51,8 +51,8 @@
   static peer_hello Hello(char const* aName, std::uint64_t aIncarnation)
   {
     endpoint const unused = endpoint::Parse("127.0.0.1:1");
-    return { .mLife = { .mInstance = instance_id{ aName },
-                        .mIncarnation = incarnation{ aIncarnation } },
+    return { .mIdentity = { .mInstance = instance_id{ aName },
+                            .mIncarnation = incarnation{ aIncarnation } },
              .mFailureDomain = failure_domain{ "here" },
              .mCallers = unused,
              .mPeers = { .mAddress = "127.0.0.1", .mPort = 1 } };
@@ -68,22 +68,22 @@
     mHub.SetWanted(std::span{ &aContact, 1 });
   }
 
-  void OnPeerUp(peer_hello const& aHello) { mUp.push_back(aHello.mLife); }
+  void OnPeerUp(peer_hello const& aHello) { mUp.push_back(aHello.mIdentity); }
 
-  void OnPeerMessage(instance_life const&, peer_message& aMessage)
+  void OnPeerMessage(instance_identity const&, peer_message& aMessage)
   {
     if (!std::holds_alternative<peer_heartbeat>(aMessage))
       mMessages.push_back(std::move(aMessage));
   }
 
-  void OnPeerDown(instance_life const& aPeer, link_close_reason aReason)
+  void OnPeerDown(instance_identity const& aPeer, link_close_reason aReason)
   {
     mDown.push_back(aPeer);
     mDownReasons.push_back(aReason);
   }
 
-  std::vector<instance_life> mUp;
-  std::vector<instance_life> mDown;
+  std::vector<instance_identity> mUp;
+  std::vector<instance_identity> mDown;
   std::vector<link_close_reason> mDownReasons;
   std::vector<peer_message> mMessages;
   hub mHub;
--- a/Tests/LibPeer/TestLinkTable.cpp
+++ b/Tests/LibPeer/TestLinkTable.cpp
@@ -5,8 +5,8 @@
 namespace lycheeseam {
 namespace {
 
-instance_life
-Life(char const* aName, std::uint64_t aIncarnation)
+instance_identity
+Identity(char const* aName, std::uint64_t aIncarnation)
 {
   return { .mInstance = instance_id{ aName },
            .mIncarnation = incarnation{ aIncarnation } };
@@ -15,7 +15,7 @@
 peer_hello
 Hello(char const* aName, std::uint64_t aIncarnation)
 {
-  return { .mLife = Life(aName, aIncarnation) };
+  return { .mIdentity = Identity(aName, aIncarnation) };
 }
 
 constexpr link_number kFirst{ 1 };
@@ -23,10 +23,10 @@
 
 TEST(TestLinkTable, RefusesOlderLives)
 {
-  link_table table{ Life("b", 1) };
+  link_table table{ Identity("b", 1) };
   EXPECT_TRUE(
     table.OnHello(kFirst, link_direction::Accepted, Hello("c", 5)).mIsNew);
-  EXPECT_EQ(table.OnClosed(kFirst), Life("c", 5));
+  EXPECT_EQ(table.OnClosed(kFirst), Identity("c", 5));
   hello_decision const late =
     table.OnHello(kSecond, link_direction::Accepted, Hello("c", 4));
   EXPECT_EQ(late.mRefused, link_close_reason::OlderIncarnation);
@@ -35,13 +35,13 @@
 
 TEST(TestLinkTable, ANewerLifeEndsTheOlderOne)
 {
-  link_table table{ Life("b", 1) };
+  link_table table{ Identity("b", 1) };
   table.OnHello(kFirst, link_direction::Accepted, Hello("c", 5));
   hello_decision const newer =
     table.OnHello(kSecond, link_direction::Accepted, Hello("c", 6));
   EXPECT_TRUE(newer.mIsNew);
   EXPECT_EQ(newer.mReplaced, kFirst);
-  EXPECT_EQ(newer.mEnded, Life("c", 5));
+  EXPECT_EQ(newer.mEnded, Identity("c", 5));
   EXPECT_FALSE(table.OnClosed(kFirst).has_value());
   EXPECT_EQ(table.Find(instance_id{ "c" }), kSecond);
 }
@@ -50,8 +50,8 @@
 TEST(TestLinkTable, BothEndsKeepTheSameLink)
 {
   for (int order = 0; order < 4; ++order) {
-    link_table lesser{ Life("a", 1) };
-    link_table greater{ Life("b", 1) };
+    link_table lesser{ Identity("a", 1) };
+    link_table greater{ Identity("b", 1) };
     link_number const byLesser{ 1 };
     link_number const byGreater{ 2 };
     auto const atLesser = [&](link_number aLink) {
@@ -77,7 +77,7 @@
 
 TEST(TestLinkTable, ADialThatReturnsReplacesAHalfOpenLink)
 {
-  link_table table{ Life("a", 1) };
+  link_table table{ Identity("a", 1) };
   table.OnHello(kFirst, link_direction::Accepted, Hello("b", 1));
   hello_decision const again =
     table.OnHello(kSecond, link_direction::Accepted, Hello("b", 1));
@@ -88,7 +88,7 @@
 
 TEST(TestLinkTable, RefusesItselfAndOtherVersions)
 {
-  link_table table{ Life("a", 1) };
+  link_table table{ Identity("a", 1) };
   EXPECT_EQ(
     table.OnHello(kFirst, link_direction::Dialled, Hello("a", 1)).mRefused,
     link_close_reason::Self);
--- a/Tests/LibPeer/TestPeerCodec.cpp
+++ b/Tests/LibPeer/TestPeerCodec.cpp
@@ -14,8 +14,8 @@
 {
   digest const hash = digest::Of("x");
   return {
-    peer_hello{ .mLife = { .mInstance = instance_id{ "entry-1" },
-                           .mIncarnation = incarnation{ 7 } },
+    peer_hello{ .mIdentity = { .mInstance = instance_id{ "entry-1" },
+                               .mIncarnation = incarnation{ 7 } },
                 .mFailureDomain = failure_domain{ "riga-2" },
                 .mCallers = endpoint::Parse("10.0.0.1:8080"),
                 .mPeers = endpoint::Parse("[::1]:8082") },
@@ -25,8 +25,8 @@
       .mSentAt = instant{} + milliseconds{ 3 },
       .mEcho = instant{} + milliseconds{ 2 },
       .mApplied = log_offset{ 5 },
-      .mTail =
-        tail_sign{ .mTail = log_offset{ 6 }, .mAge = milliseconds{ 70 } },
+      .mTail = tail_observation{ .mTail = log_offset{ 6 },
+                                 .mAge = milliseconds{ 70 } },
       .mDomains = { { .mDomain = DomainCode(failure_domain{ "riga-1" }),
                       .mAge = milliseconds{ 8 } } } },
     peer_heartbeat{},
@@ -49,16 +49,16 @@
 std::vector<budget_message>
 OneOfEachBudgetMessage()
 {
-  instance_life const life{ .mInstance = instance_id{ "entry-1" },
-                            .mIncarnation = incarnation{ 7 } };
+  instance_identity const identity{ .mInstance = instance_id{ "entry-1" },
+                                    .mIncarnation = incarnation{ 7 } };
   return {
-    token_request{ .mFrom = life,
+    token_request{ .mFrom = identity,
                    .mSequence = 1,
                    .mWorkspace = workspace_id{ "w" },
                    .mSlot = slot_id{ 2 },
                    .mWanted = 300,
                    .mPatience = milliseconds{ 40 } },
-    token_grant{ .mTo = life,
+    token_grant{ .mTo = identity,
                  .mSequence = 1,
                  .mWorkspace = workspace_id{ "w" },
                  .mSlot = slot_id{ 2 },
@@ -75,9 +75,9 @@
                   .mSlot = slot_id{ 2 },
                   .mClaim = log_offset{ 3 },
                   .mSpent = { { .mLoan = loan_id{ 4 }, .mTokens = 5 } } },
-    standing_probe{ .mFrom = life, .mSentAt = instant{} + milliseconds{ 9 } },
-    standing_word{ .mFrom = life,
-                   .mTo = life,
+    quorum_probe{ .mFrom = identity, .mSentAt = instant{} + milliseconds{ 9 } },
+    quorum_answer{ .mFrom = identity,
+                   .mTo = identity,
                    .mProbeSentAt = instant{} + milliseconds{ 9 },
                    .mSlots = { slot_id{ 1 }, slot_id{ 2 } },
                    .mFolded = log_offset{ 8 },
@@ -117,10 +117,10 @@
     .mSpent = { { workspace_id{ "w" }, 1.5, 2.0 } },
     .mCrashes = { { .mFingerprint = 9, .mCount = 2 } },
     .mWeights = { { .mServer = server,
-                    .mLife = incarnation{ 3 },
+                    .mIncarnation = incarnation{ 3 },
                     .mModel = model_name{ "m" },
                     .mVersion = 4 } },
-    .mTurning = { server },
+    .mUpdating = { server },
     .mHolders = { { .mKey = 8, .mServer = server, .mIsStored = true } },
     .mUsed = { { workspace_id{ "w" }, 2.5 } },
     .mOperatorsEnd = 12
@@ -132,8 +132,8 @@
                            .mRecords = {
                              { .mOffset = 3, .mKey = "a", .mValue = "bytes" },
                              { .mOffset = 4, .mKey = "b" } } };
-  peer_hello const hello{ .mLife = { .mInstance = instance_id{ "entry-2" },
-                                     .mIncarnation = incarnation{ 8 } },
+  peer_hello const hello{ .mIdentity = { .mInstance = instance_id{ "entry-2" },
+                                         .mIncarnation = incarnation{ 8 } },
                           .mFailureDomain = failure_domain{ "riga-2" },
                           .mCallers = endpoint::Parse("10.0.0.2:8080"),
                           .mPeers = endpoint::Parse("10.0.0.2:8082"),
--- a/Tests/LibPlacement/TestBlockMap.cpp
+++ b/Tests/LibPlacement/TestBlockMap.cpp
@@ -11,7 +11,7 @@
 using namespace std::chrono_literals;
 
 backend_server_id const kServer{ "worker-1" };
-constexpr incarnation kLife{ 5 };
+constexpr incarnation kIncarnation{ 5 };
 constexpr instant kStart = instant{} + 100s;
 
 std::vector<block_hash>
@@ -30,14 +30,14 @@
            cache_change aChange,
            std::span<block_hash const> aBlocks,
            instant aNow,
-           incarnation aLife = kLife)
+           incarnation aIncarnation = kIncarnation)
 {
   std::vector<cache_event> events;
   events.reserve(aBlocks.size());
   for (block_hash const block : aBlocks)
     events.push_back({ .mChange = aChange, .mBlock = block });
   aMap.OnEvents({ .mServer = kServer,
-                  .mIncarnation = aLife,
+                  .mIncarnation = aIncarnation,
                   .mFirst = event_sequence{ aSequence },
                   .mLast = event_sequence{ aSequence },
                   .mEvents = events },
@@ -47,10 +47,11 @@
 /// A map and a prompt of ten blocks.
 struct map_and_prompt
 {
-  [[nodiscard]] std::size_t Known(instant aNow, incarnation aLife = kLife) const
+  [[nodiscard]] std::size_t Known(instant aNow,
+                                  incarnation aIncarnation = kIncarnation) const
   {
     return static_cast<std::size_t>(
-      mMap.Find(kServer, aLife, mBlocks, aNow).mTokens / kBlockTokens);
+      mMap.Find(kServer, aIncarnation, mBlocks, aNow).mTokens / kBlockTokens);
   }
 
   block_map mMap{ { .mFirstRetention = 10s } };
@@ -60,7 +61,8 @@
 TEST(TestBlockMap, KnowsWhatWasSentAndWhatEventsSay)
 {
   map_and_prompt given;
-  given.mMap.OnSent(kServer, kLife, std::span(given.mBlocks).first(4), kStart);
+  given.mMap.OnSent(
+    kServer, kIncarnation, std::span(given.mBlocks).first(4), kStart);
   EXPECT_EQ(given.Known(kStart), 4U);
   SendEvents(given.mMap, 1, cache_change::Stored, given.mBlocks, kStart);
   EXPECT_EQ(given.Known(kStart), 10U);
@@ -76,24 +78,25 @@
 {
   map_and_prompt given;
   SendEvents(given.mMap, 1, cache_change::Stored, given.mBlocks, kStart);
-  given.mMap.OnSent(kServer, kLife, given.mBlocks, kStart);
-  given.mMap.OnIncarnation(kServer, kLife.Next());
+  given.mMap.OnSent(kServer, kIncarnation, given.mBlocks, kStart);
+  given.mMap.OnIncarnation(kServer, kIncarnation.Next());
   EXPECT_EQ(given.Known(kStart), 0U);
-  EXPECT_EQ(given.Known(kStart, kLife.Next()), 0U);
+  EXPECT_EQ(given.Known(kStart, kIncarnation.Next()), 0U);
   // What the old life still sends late changes nothing.
   SendEvents(given.mMap, 2, cache_change::Stored, given.mBlocks, kStart);
-  given.mMap.OnAnswer(kServer, kLife, given.mBlocks, 2560, kStart);
+  given.mMap.OnAnswer(kServer, kIncarnation, given.mBlocks, 2560, kStart);
   EXPECT_EQ(given.Known(kStart), 0U);
-  EXPECT_EQ(given.Known(kStart, kLife.Next()), 0U);
+  EXPECT_EQ(given.Known(kStart, kIncarnation.Next()), 0U);
 }
 
 TEST(TestBlockMap, ANewLifeShownByEventsDropsTheOld)
 {
   map_and_prompt given;
-  given.mMap.OnSent(kServer, kLife, given.mBlocks, kStart);
-  SendEvents(given.mMap, 1, cache_change::Stored, {}, kStart, kLife.Next());
+  given.mMap.OnSent(kServer, kIncarnation, given.mBlocks, kStart);
+  SendEvents(
+    given.mMap, 1, cache_change::Stored, {}, kStart, kIncarnation.Next());
   EXPECT_EQ(given.Known(kStart), 0U);
-  EXPECT_EQ(given.Known(kStart, kLife.Next()), 0U);
+  EXPECT_EQ(given.Known(kStart, kIncarnation.Next()), 0U);
 }
 
 TEST(TestBlockMap, EventsBeforeAGapAreNotReliedOn)
@@ -143,7 +146,7 @@
 TEST(TestBlockMap, RequestsCountThroughAGapForTheRetentionOnly)
 {
   map_and_prompt given;
-  given.mMap.OnSent(kServer, kLife, given.mBlocks, kStart);
+  given.mMap.OnSent(kServer, kIncarnation, given.mBlocks, kStart);
   SendEvents(given.mMap, 1, cache_change::Stored, {}, kStart);
   SendEvents(given.mMap, 3, cache_change::Stored, {}, kStart);
   EXPECT_EQ(given.Known(kStart + 9s), 10U);
@@ -155,9 +158,9 @@
   map_and_prompt given;
   for (int request = 0; request < 30; ++request) {
     instant const now = kStart + request * 3s;
-    given.mMap.OnSent(kServer, kLife, given.mBlocks, now);
+    given.mMap.OnSent(kServer, kIncarnation, given.mBlocks, now);
     // The engine found less than was believed: it evicts faster.
-    given.mMap.OnAnswer(kServer, kLife, given.mBlocks, 0, now + 1s);
+    given.mMap.OnAnswer(kServer, kIncarnation, given.mBlocks, 0, now + 1s);
   }
   EXPECT_EQ(given.Known(kStart + 29 * 3s + 1500ms), 10U);
   // Confirmed by the last answer at one second, gone two seconds later.
@@ -170,10 +173,11 @@
   block_map map{ { .mEntries = kEntries } };
   EXPECT_LE(map.Bytes(), kEntries * 26);
   std::vector<block_hash> const blocks = Blocks(1, kEntries);
-  map.OnSent(kServer, kLife, blocks, kStart);
+  map.OnSent(kServer, kIncarnation, blocks, kStart);
   std::size_t held = 0;
   for (block_hash const& block : blocks) {
-    if (map.Find(kServer, kLife, std::span{ &block, 1 }, kStart).mTokens > 0)
+    if (map.Find(kServer, kIncarnation, std::span{ &block, 1 }, kStart)
+          .mTokens > 0)
       ++held;
   }
   EXPECT_GE(held, kEntries * 95 / 100);
--- a/Tests/LibPlatform/ConfigSchedule.cpp
+++ b/Tests/LibPlatform/ConfigSchedule.cpp
@@ -74,7 +74,7 @@
 {
   appender_options const appender{
     .mInstance = instance_id{ "entry-" + std::to_string(aIndex) },
-    .mIncarnation = incarnation{ ++mLives },
+    .mIncarnation = incarnation{ ++mIncarnations },
     .mWindow = 40,
     .mGiveUpAfter = std::chrono::milliseconds{ Pick(2) == 0 ? 0 : 2000 },
   };
--- a/Tests/LibPlatform/ConfigSchedule.h
+++ b/Tests/LibPlatform/ConfigSchedule.h
@@ -24,7 +24,8 @@
   /// Checks what must hold once all is settled.
   void CheckEnd();
 
-  /// How often an instance jumped to a checkpoint, over all schedules' lives.
+  /// How often an instance jumped to a checkpoint, over all schedules'
+  /// incarnations.
   [[nodiscard]] std::size_t Jumps() const { return mJumps; }
 
 private:
@@ -58,7 +59,7 @@
   std::vector<std::unique_ptr<config_instance>> mInstances;
   std::vector<log_offset> mSeen;
   std::vector<told_outcome> mTold;
-  std::uint64_t mLives = 0;
+  std::uint64_t mIncarnations = 0;
   std::size_t mJumps = 0;
   bool mIsHealed = false;
   instant mFrozenUntil{};
--- a/Tests/LibPlatform/TestPlatformClient.cpp
+++ b/Tests/LibPlatform/TestPlatformClient.cpp
@@ -96,7 +96,7 @@
   Append("a");
   Append("b");
   read_result const result = Read({ .mFrom = log_offset{ 1 } }).get();
-  EXPECT_EQ(result.mStatus, read_status::BehindRetention);
+  EXPECT_EQ(result.mStatus, read_status::BeforeRetention);
   EXPECT_EQ(result.mRange, (log_range{ log_offset{ 2 }, log_offset{ 2 } }));
 }
 
--- a/Tests/Platform/TestRequestDialect.cpp
+++ b/Tests/Platform/TestRequestDialect.cpp
@@ -18,7 +18,7 @@
 
 TEST(TestRequestDialect, FactsAreRead)
 {
-  request_facts const facts = request_dialect::ReadFacts(
+  request_properties const properties = request_dialect::ReadProperties(
     Head({ { "host", "h" },
            { "Request-Id", "r" },
            { "Deadline-Ms", "600" },
@@ -27,16 +27,16 @@
            { "Prompt-Prefix", "5c:800,91:410,e4:250" },
            { "Last-Event-Id", "12" },
            { "Authorization", "Bearer k" } }));
-  EXPECT_EQ(facts.mHost, "h");
-  EXPECT_EQ(facts.mPath, "/a/b");
-  EXPECT_EQ(facts.mPatience, std::chrono::milliseconds{ 600 });
-  EXPECT_EQ(facts.mPromptTokens, 1460);
-  EXPECT_EQ(facts.mMaxOutputTokens, 80);
-  EXPECT_EQ(facts.mLastEvent, 12U);
-  EXPECT_EQ(facts.mKey, "k");
-  ASSERT_NE(facts.SharedPart(), nullptr);
-  EXPECT_EQ(facts.SharedPart()->mId, "91");
-  EXPECT_EQ(facts.SharedTokens(), 1210);
+  EXPECT_EQ(properties.mHost, "h");
+  EXPECT_EQ(properties.mPath, "/a/b");
+  EXPECT_EQ(properties.mPatience, std::chrono::milliseconds{ 600 });
+  EXPECT_EQ(properties.mPromptTokens, 1460);
+  EXPECT_EQ(properties.mMaxOutputTokens, 80);
+  EXPECT_EQ(properties.mLastEvent, 12U);
+  EXPECT_EQ(properties.mKey, "k");
+  ASSERT_NE(properties.SharedPart(), nullptr);
+  EXPECT_EQ(properties.SharedPart()->mId, "91");
+  EXPECT_EQ(properties.SharedTokens(), 1210);
 }
 
 TEST(TestRequestDialect, UnreadableNumbersAreRefused)
@@ -47,7 +47,8 @@
                                   { "Token-Counts", "5" },
                                   { "Prompt-Prefix", "abc" },
                                   { "Prompt-Prefix", "a:1,b:x" } })
-    EXPECT_THROW(request_dialect::ReadFacts(Head({ field })), invalid_input);
+    EXPECT_THROW(request_dialect::ReadProperties(Head({ field })),
+                 invalid_input);
 }
 
 TEST(TestRequestDialect, AnyHeadersAreReadOrRefused)
@@ -58,7 +59,7 @@
   rc::check([&names](std::string const& aValue) {
     for (std::string const& name : names) {
       try {
-        request_dialect::ReadFacts(Head({ { name, aValue } }));
+        request_dialect::ReadProperties(Head({ { name, aValue } }));
       } catch (invalid_input const&) {
       }
     }
@@ -67,11 +68,11 @@
 
 TEST(TestRequestDialect, TheRoutersOwnWordsReplaceTheCallers)
 {
-  send_terms const terms{ .mServer = backend_server_id{ "s" },
-                          .mTimeLeft = std::chrono::milliseconds{ 90 },
-                          .mWorkspace = workspace_id{ "w" },
-                          .mVersion = 3,
-                          .mCacheScope = "v3" };
+  send_parameters const terms{ .mServer = backend_server_id{ "s" },
+                               .mTimeLeft = std::chrono::milliseconds{ 90 },
+                               .mWorkspace = workspace_id{ "w" },
+                               .mVersion = 3,
+                               .mCacheScope = "v3" };
   request_head const head =
     request_dialect::ForwardedRequest(Head({ { "X-Own", "1" },
                                              { "X-Own", "2" },
--- a/Tests/Platform/TestStoreDialect.cpp
+++ b/Tests/Platform/TestStoreDialect.cpp
@@ -55,13 +55,13 @@
   EXPECT_EQ(config->Version(), 7U);
   dispatch_route const* const route = config->FindRoute("h", "/a/x");
   ASSERT_NE(route, nullptr);
-  EXPECT_EQ(route->mKind, work_kind::Stream);
+  EXPECT_EQ(route->mKind, request_kind::Stream);
   EXPECT_TRUE(route->mIsResumable);
   EXPECT_EQ(route->mShares.size(), 2U);
   EXPECT_EQ(config->FindRoute("h", "/b/")->mTimeout,
             std::chrono::milliseconds{ 600 });
   // What isn't known to be repeatable runs once.
-  EXPECT_EQ(config->FindRoute("h", "/b/")->mKind, work_kind::NonIdempotent);
+  EXPECT_EQ(config->FindRoute("h", "/b/")->mKind, request_kind::NonIdempotent);
   EXPECT_EQ(config->FindPool(pool_name{ "p" })->mEngine->mMemoryTokens, 104044);
   EXPECT_EQ(config->CacheStore()->mCacheStore->Text(), "172.20.0.2:8604");
   EXPECT_EQ(config->Limits().mHeaderBytes, 100U);
@@ -95,8 +95,8 @@
 
 TEST(TestStoreDialect, EntriesAreRead)
 {
-  listed_server const server = store_dialect::ReadServer("i-1", kEntry);
-  EXPECT_EQ(server.mLife, incarnation{ 1777431616036 });
+  registered_server const server = store_dialect::ReadServer("i-1", kEntry);
+  EXPECT_EQ(server.mIncarnation, incarnation{ 1777431616036 });
   EXPECT_EQ(server.mAddress.Text(), "10.0.0.9:8080");
   EXPECT_EQ(server.VersionOf(model_name{ "m" }), 3U);
   EXPECT_EQ(
--- a/Tests/Support/FakeLog.h
+++ b/Tests/Support/FakeLog.h
@@ -189,7 +189,7 @@
       return {};
     log_range const range = Range();
     if (aRequest.mFrom < range.mEarliest)
-      return { .mStatus = read_status::BehindRetention, .mRange = range };
+      return { .mStatus = read_status::BeforeRetention, .mRange = range };
     read_result result{ .mStatus = read_status::Complete, .mRange = range };
     std::size_t index = aRequest.mFrom.Value() - 1;
     while (index < mHistory.size() &&
