--- a/Libraries/LibLimits/BorrowingAccount.cpp
+++ b/Libraries/LibLimits/BorrowingAccount.cpp
@@ -1,5 +1,5 @@
 #include <LibLimits/BorrowingAccount.h>
-#include <LibLimits/HomeSlots.h>
+#include <LibLimits/WorkspaceSlots.h>
 
 #include <algorithm>
 #include <utility>
@@ -28,7 +28,7 @@
   : mName(aRow.mName)
   , mTiming(aTiming)
   , mLayout(aLayout)
-  , mHomes(ShareOf(aRow, aLayout), HomeSlots(aRow.mName, aLayout))
+  , mHomes(ShareOf(aRow, aLayout), WorkspaceSlots(aRow.mName, aLayout))
 {
   SetLimits(aRow);
 }
@@ -106,11 +106,11 @@
     covered = std::max<token_count>(0, -missing);
     if (missing <= 0)
       continue;
-    std::vector<home_ask> const asks =
+    std::vector<slot_request> const asks =
       mHomes.Plan(aNow, missing, aSlots, aSelf.mInstance);
     if (asks.empty())
       break;
-    for (home_ask const& ask : asks) {
+    for (slot_request const& ask : asks) {
       requests.push_back(Open(aNow, ask, waiting.mDeadline, ++aLastSequence));
       requests.back().mFrom = aSelf;
     }
@@ -209,7 +209,7 @@
 
 token_request
 borrowing_account::Open(instant aNow,
-                        home_ask aAsk,
+                        slot_request aAsk,
                         instant aDeadline,
                         std::uint64_t aSequence)
 {
--- a/Libraries/LibLimits/BorrowingAccount.h
+++ b/Libraries/LibLimits/BorrowingAccount.h
@@ -5,8 +5,8 @@
 #include <LibLimits/AdmittedCharge.h>
 #include <LibLimits/BudgetTiming.h>
 #include <LibLimits/ChargeRequest.h>
-#include <LibLimits/HomeChooser.h>
-#include <LibLimits/LoanPurse.h>
+#include <LibLimits/LenderSelector.h>
+#include <LibLimits/LoanBalance.h>
 #include <LibLimits/TokenGrant.h>
 #include <LibLimits/TokenReport.h>
 #include <LibLimits/TokenRequest.h>
@@ -82,7 +82,7 @@
 private:
   struct open_ask
   {
-    home_ask mAsk;
+    slot_request mAsk;
     instant mAskedAt;
     instant mTimeoutAt;
   };
@@ -90,7 +90,7 @@
   admitted_charge Pay(charge_request const& aRequest);
   void NoteSpent(std::span<charge_part const> aParts);
   token_request Open(instant aNow,
-                     home_ask aAsk,
+                     slot_request aAsk,
                      instant aDeadline,
                      std::uint64_t aSequence);
 
@@ -99,8 +99,8 @@
   token_count mBurst = 0;
   token_count mDebt = 0;
   slot_layout mLayout;
-  home_chooser mHomes;
-  loan_purse mPurse;
+  lender_selector mHomes;
+  loan_balance mPurse;
   std::deque<charge_request> mWaiting;
   std::map<std::uint64_t, open_ask> mAsks;
   /// The sum of the open asks.
--- a/Libraries/LibLimits/BudgetHome.cpp
+++ b/Libraries/LibLimits/BudgetLender.cpp
@@ -1,5 +1,5 @@
-#include <LibLimits/BudgetHome.h>
-#include <LibLimits/HomeSlots.h>
+#include <LibLimits/BudgetLender.h>
+#include <LibLimits/WorkspaceSlots.h>
 
 #include <algorithm>
 #include <utility>
@@ -14,9 +14,9 @@
 
 }
 
-budget_home::budget_home(instance_identity aSelf,
-                         slot_layout aLayout,
-                         budget_timing aTiming)
+budget_lender::budget_lender(instance_identity aSelf,
+                             slot_layout aLayout,
+                             budget_timing aTiming)
   : mSelf(std::move(aSelf))
   , mTiming(aTiming)
   , mLayout(aLayout)
@@ -24,7 +24,7 @@
 }
 
 void
-budget_home::OnSlots(slot_fold const& aSlots)
+budget_lender::OnSlots(slot_fold const& aSlots)
 {
   std::vector<slot_id> lost;
   for (auto const& [slot, held] : mHeld) {
@@ -37,10 +37,10 @@
 }
 
 void
-budget_home::OpenSlot(instant aNow,
-                      slot_id aSlot,
-                      log_offset aClaim,
-                      instant aAccruesFrom)
+budget_lender::OpenSlot(instant aNow,
+                        slot_id aSlot,
+                        log_offset aClaim,
+                        instant aAccruesFrom)
 {
   mHeld[aSlot] = { .mClaim = aClaim, .mAccruesFrom = aAccruesFrom };
   for (auto const& [name, row] : mRows)
@@ -48,7 +48,7 @@
 }
 
 std::vector<slot_id>
-budget_home::OpenSlots() const
+budget_lender::OpenSlots() const
 {
   std::vector<slot_id> slots;
   for (auto const& [slot, held] : mHeld)
@@ -57,10 +57,10 @@
 }
 
 void
-budget_home::OnLimits(instant aNow, workspace_row const& aRow)
+budget_lender::OnLimits(instant aNow, workspace_row const& aRow)
 {
   mRows[aRow.mName] = aRow;
-  std::vector<slot_id> const homes = HomeSlots(aRow.mName, mLayout);
+  std::vector<slot_id> const homes = WorkspaceSlots(aRow.mName, mLayout);
   slot_share const share = slot_share::Of(aRow, homes.size());
   for (auto const& [slot, held] : mHeld) {
     auto const found = mAccounts.find({ aRow.mName, slot });
@@ -72,7 +72,7 @@
 }
 
 void
-budget_home::OnWorkspaceRemoved(workspace_id const& aWorkspace)
+budget_lender::OnWorkspaceRemoved(workspace_id const& aWorkspace)
 {
   mRows.erase(aWorkspace);
   std::erase_if(mAccounts, [&aWorkspace](auto const& aEntry) {
@@ -81,9 +81,9 @@
 }
 
 void
-budget_home::OnRequest(instant aNow,
-                       giving_permission aPermission,
-                       token_request const& aRequest)
+budget_lender::OnRequest(instant aNow,
+                         lending_state aPermission,
+                         token_request const& aRequest)
 {
   auto const found = mAccounts.find({ aRequest.mWorkspace, aRequest.mSlot });
   if (found == mAccounts.end()) {
@@ -91,7 +91,7 @@
     return;
   }
   home_account& account = found->second;
-  if (aPermission == giving_permission::Withheld || aRequest.mWanted <= 0) {
+  if (aPermission == lending_state::Withheld || aRequest.mWanted <= 0) {
     Answer(aRequest, grant_result::Withheld, &account);
     return;
   }
@@ -115,7 +115,7 @@
 }
 
 token_count
-budget_home::OnRefund(instant aNow, token_refund const& aRefund)
+budget_lender::OnRefund(instant aNow, token_refund const& aRefund)
 {
   home_account* const account =
     FindAccount(aRefund.mWorkspace, aRefund.mSlot, aRefund.mClaim);
@@ -124,7 +124,7 @@
 }
 
 void
-budget_home::OnReport(instant aNow, token_report const& aReport)
+budget_lender::OnReport(instant aNow, token_report const& aReport)
 {
   home_account* const account =
     FindAccount(aReport.mWorkspace, aReport.mSlot, aReport.mClaim);
@@ -135,7 +135,7 @@
 }
 
 void
-budget_home::Tick(instant aNow, giving_permission aPermission)
+budget_lender::Tick(instant aNow, lending_state aPermission)
 {
   for (auto& [key, account] : mAccounts) {
     if (!account.mWaiting.empty() && account.mServeAt <= aNow)
@@ -144,7 +144,7 @@
 }
 
 std::optional<instant>
-budget_home::NextWake() const
+budget_lender::NextWake() const
 {
   std::optional<instant> next;
   for (auto const& [key, account] : mAccounts) {
@@ -156,15 +156,17 @@
 }
 
 std::vector<budget_envelope>
-budget_home::TakeOutbox()
+budget_lender::TakeOutbox()
 {
   return std::exchange(mOutbox, {});
 }
 
 void
-budget_home::OpenAccount(instant aNow, workspace_row const& aRow, slot_id aSlot)
+budget_lender::OpenAccount(instant aNow,
+                           workspace_row const& aRow,
+                           slot_id aSlot)
 {
-  std::vector<slot_id> const homes = HomeSlots(aRow.mName, mLayout);
+  std::vector<slot_id> const homes = WorkspaceSlots(aRow.mName, mLayout);
   if (!std::binary_search(homes.begin(), homes.end(), aSlot))
     return;
   held_slot const& held = mHeld.at(aSlot);
@@ -177,7 +179,7 @@
 }
 
 void
-budget_home::DropSlot(slot_id aSlot)
+budget_lender::DropSlot(slot_id aSlot)
 {
   mHeld.erase(aSlot);
   std::erase_if(mAccounts, [aSlot](auto const& aEntry) {
@@ -185,10 +187,10 @@
   });
 }
 
-budget_home::home_account*
-budget_home::FindAccount(workspace_id const& aWorkspace,
-                         slot_id aSlot,
-                         log_offset aClaim)
+budget_lender::home_account*
+budget_lender::FindAccount(workspace_id const& aWorkspace,
+                           slot_id aSlot,
+                           log_offset aClaim)
 {
   auto const found = mAccounts.find({ aWorkspace, aSlot });
   if (found == mAccounts.end() || found->second.mClaim != aClaim)
@@ -197,8 +199,8 @@
 }
 
 bool
-budget_home::WillAccrue(home_account const& aAccount,
-                        token_request const& aRequest) const
+budget_lender::WillAccrue(home_account const& aAccount,
+                          token_request const& aRequest) const
 {
   token_count const burst = aAccount.mTokens.Share().mBurst;
   if (aRequest.mWanted > burst)
@@ -211,10 +213,10 @@
 }
 
 void
-budget_home::Answer(token_request const& aRequest,
-                    grant_result aResult,
-                    home_account const* aAccount,
-                    loan_id aLoan)
+budget_lender::Answer(token_request const& aRequest,
+                      grant_result aResult,
+                      home_account const* aAccount,
+                      loan_id aLoan)
 {
   token_grant grant{ .mTo = aRequest.mFrom,
                      .mSequence = aRequest.mSequence,
@@ -234,24 +236,24 @@
 }
 
 void
-budget_home::Lend(instant aNow,
-                  home_account& aAccount,
-                  token_request const& aRequest)
+budget_lender::Lend(instant aNow,
+                    home_account& aAccount,
+                    token_request const& aRequest)
 {
   loan_id const loan = aAccount.mTokens.Lend(aNow, aRequest.mWanted);
   Answer(aRequest, grant_result::Lent, &aAccount, loan);
 }
 
 void
-budget_home::Serve(instant aNow,
-                   home_account& aAccount,
-                   giving_permission aPermission)
+budget_lender::Serve(instant aNow,
+                     home_account& aAccount,
+                     lending_state aPermission)
 {
   aAccount.mTokens.Advance(aNow);
   while (!aAccount.mWaiting.empty()) {
     waiting_ask const head = aAccount.mWaiting.front();
     bool const isCovered = aAccount.mTokens.Balance() >= head.mRequest.mWanted;
-    bool const mayLend = aPermission == giving_permission::Granted;
+    bool const mayLend = aPermission == lending_state::Granted;
     if (!(isCovered && mayLend) && aNow < head.mDeadline)
       break;
     aAccount.mWaiting.pop_front();
--- a/Libraries/LibLimits/BudgetHome.h
+++ b/Libraries/LibLimits/BudgetLender.h
@@ -4,7 +4,7 @@
 #include <LibCore/InstanceIdentity.h>
 #include <LibLimits/BudgetEnvelope.h>
 #include <LibLimits/BudgetTiming.h>
-#include <LibLimits/GivingPermission.h>
+#include <LibLimits/LendingState.h>
 #include <LibLimits/SlotAccount.h>
 #include <LibLimits/SlotFold.h>
 
@@ -18,12 +18,12 @@
 
 /// Lends tokens from the slots that this instance holds. It deducts before it
 /// answers, so a lost answer loses tokens but never makes any.
-class budget_home
+class budget_lender
 {
 public:
-  budget_home(instance_identity aSelf,
-              slot_layout aLayout,
-              budget_timing aTiming);
+  budget_lender(instance_identity aSelf,
+                slot_layout aLayout,
+                budget_timing aTiming);
 
   /// Drops the slots that this life of the instance no longer holds.
   void OnSlots(slot_fold const& aSlots);
@@ -46,7 +46,7 @@
 
   /// Answers a borrower, or keeps its ask until tokens have accrued.
   void OnRequest(instant aNow,
-                 giving_permission aPermission,
+                 lending_state aPermission,
                  token_request const& aRequest);
 
   /// Takes back charged tokens; returns how many the burst had room for.
@@ -56,7 +56,7 @@
   void OnReport(instant aNow, token_report const& aReport);
 
   /// Answers asks whose tokens have accrued or whose patience is over.
-  void Tick(instant aNow, giving_permission aPermission);
+  void Tick(instant aNow, lending_state aPermission);
 
   /// When Tick has work next; nothing while no ask waits.
   [[nodiscard]] std::optional<instant> NextWake() const;
@@ -108,9 +108,7 @@
   void Lend(instant aNow,
             home_account& aAccount,
             token_request const& aRequest);
-  void Serve(instant aNow,
-             home_account& aAccount,
-             giving_permission aPermission);
+  void Serve(instant aNow, home_account& aAccount, lending_state aPermission);
 
   instance_identity mSelf;
   budget_timing mTiming;
--- a/Libraries/LibLimits/FleetBudget.cpp
+++ b/Libraries/LibLimits/FleetBudget.cpp
@@ -200,7 +200,7 @@
                       .mProbeSentAt = aProbe.mSentAt,
                       .mFolded = mFolded,
                       .mSilent = mWatch.Silent(aNow, mSlots) };
-  if (mStanding.At(aNow) == giving_permission::Granted)
+  if (mStanding.At(aNow) == lending_state::Granted)
     word.mSlots = mHome.OpenSlots();
   std::erase(word.mSilent, mSelf.mInstance);
   return word;
@@ -210,8 +210,8 @@
 fleet_budget::Handle(instant aNow, token_request const& aMessage)
 {
   mWatch.OnHeard(aNow, aMessage.mFrom.mInstance);
-  giving_permission const permission = mStanding.At(aNow);
-  if (permission == giving_permission::Withheld)
+  lending_state const permission = mStanding.At(aNow);
+  if (permission == lending_state::Withheld)
     ++mCounters.mRequestsWithheld;
   mHome.OnRequest(aNow, permission, aMessage);
 }
--- a/Libraries/LibLimits/FleetBudget.h
+++ b/Libraries/LibLimits/FleetBudget.h
@@ -2,9 +2,9 @@
 
 #include <LibLimits/BudgetBorrower.h>
 #include <LibLimits/BudgetCounters.h>
-#include <LibLimits/BudgetHome.h>
-#include <LibLimits/HomeStanding.h>
-#include <LibLimits/SilenceWatch.h>
+#include <LibLimits/BudgetLender.h>
+#include <LibLimits/LendingQuorum.h>
+#include <LibLimits/PeerActivity.h>
 #include <LibLimits/SlotRelease.h>
 #include <LibLimits/SlotTakeover.h>
 
@@ -80,7 +80,7 @@
   }
 
   /// Whether this instance may lend from its slots now.
-  [[nodiscard]] giving_permission Permission(instant aNow) const
+  [[nodiscard]] lending_state Permission(instant aNow) const
   {
     return mStanding.At(aNow);
   }
@@ -105,11 +105,11 @@
   budget_timing mTiming;
   slot_fold mSlots;
   log_offset mFolded;
-  home_standing mStanding;
-  silence_watch mWatch;
+  lending_quorum mStanding;
+  peer_activity mWatch;
   slot_release mRelease;
   slot_takeover mTakeover;
-  budget_home mHome;
+  budget_lender mHome;
   budget_borrower mBorrower;
   instant mProbeAt;
   budget_counters mCounters;
--- a/Libraries/LibLimits/HomeChooser.cpp
+++ b/Libraries/LibLimits/LenderSelector.cpp
@@ -1,4 +1,4 @@
-#include <LibLimits/HomeChooser.h>
+#include <LibLimits/LenderSelector.h>
 
 #include <algorithm>
 
@@ -7,23 +7,24 @@
 namespace {
 
 // Takes what each home is thought to have, from the fullest on.
-std::vector<home_ask>
-TakeFromFullest(token_count aTokens, std::span<home_ask const> aUsable)
+std::vector<slot_request>
+TakeFromFullest(token_count aTokens, std::span<slot_request const> aUsable)
 {
-  std::vector<home_ask> asks;
-  for (home_ask const& home : aUsable) {
+  std::vector<slot_request> asks;
+  for (slot_request const& home : aUsable) {
     token_count const piece = std::min(aTokens, home.mTokens);
     if (piece <= 0)
       break;
     asks.push_back({ .mSlot = home.mSlot, .mTokens = piece });
     aTokens -= piece;
   }
-  return aTokens == 0 ? asks : std::vector<home_ask>{};
+  return aTokens == 0 ? asks : std::vector<slot_request>{};
 }
 
 }
 
-home_chooser::home_chooser(slot_share aShare, std::span<slot_id const> aHomes)
+lender_selector::lender_selector(slot_share aShare,
+                                 std::span<slot_id const> aHomes)
   : mShare(aShare)
 {
   // A home that has not answered yet is taken to be full.
@@ -31,25 +32,25 @@
     mViews[slot] = { .mLeft = aShare.mBurst };
 }
 
-std::vector<home_ask>
-home_chooser::Plan(instant aNow,
-                   token_count aTokens,
-                   slot_fold const& aSlots,
-                   instance_id const& aSelf)
+std::vector<slot_request>
+lender_selector::Plan(instant aNow,
+                      token_count aTokens,
+                      slot_fold const& aSlots,
+                      instance_id const& aSelf)
 {
-  std::vector<home_ask> const usable = Usable(aNow, aSlots, aSelf, aTokens);
+  std::vector<slot_request> const usable = Usable(aNow, aSlots, aSelf, aTokens);
   if (usable.empty())
     return {};
-  std::vector<home_ask> asks = TakeFromFullest(aTokens, usable);
+  std::vector<slot_request> asks = TakeFromFullest(aTokens, usable);
   if (asks.empty())
     asks = Spread(aTokens, usable);
-  for (home_ask const& ask : asks)
+  for (slot_request const& ask : asks)
     mViews[ask.mSlot].mLeft -= ask.mTokens;
   return asks;
 }
 
 void
-home_chooser::OnBalance(instant aNow, slot_id aSlot, token_count aLeft)
+lender_selector::OnBalance(instant aNow, slot_id aSlot, token_count aLeft)
 {
   home_view& view = mViews[aSlot];
   view.mLeft = aLeft;
@@ -57,13 +58,13 @@
 }
 
 void
-home_chooser::Pause(slot_id aSlot, instant aUntil)
+lender_selector::Pause(slot_id aSlot, instant aUntil)
 {
   mViews[aSlot].mPausedUntil = aUntil;
 }
 
 std::optional<instant>
-home_chooser::NextPauseEnd(instant aNow) const
+lender_selector::NextPauseEnd(instant aNow) const
 {
   std::optional<instant> next;
   for (auto const& [slot, view] : mViews) {
@@ -74,7 +75,7 @@
 }
 
 token_count
-home_chooser::Estimate(instant aNow, home_view const& aView) const
+lender_selector::Estimate(instant aNow, home_view const& aView) const
 {
   std::chrono::duration<double> const elapsed = aNow - aView.mToldAt;
   double const accrued = elapsed.count() *
@@ -84,26 +85,27 @@
   return aView.mLeft + static_cast<token_count>(std::min(accrued, most));
 }
 
-std::vector<home_ask>
-home_chooser::Usable(instant aNow,
-                     slot_fold const& aSlots,
-                     instance_id const& aSelf,
-                     token_count aTokens) const
+std::vector<slot_request>
+lender_selector::Usable(instant aNow,
+                        slot_fold const& aSlots,
+                        instance_id const& aSelf,
+                        token_count aTokens) const
 {
-  std::vector<home_ask> usable;
-  std::optional<home_ask> own;
+  std::vector<slot_request> usable;
+  std::optional<slot_request> own;
   for (auto const& [slot, view] : mViews) {
     slot_holder const* const holder = aSlots.Find(slot);
     if (holder == nullptr || aNow < view.mPausedUntil)
       continue;
-    home_ask const home{ .mSlot = slot, .mTokens = Estimate(aNow, view) };
+    slot_request const home{ .mSlot = slot, .mTokens = Estimate(aNow, view) };
     // A slot of this instance that covers the need costs no message.
     if (holder->mInstance == aSelf && home.mTokens >= aTokens && !own)
       own = home;
     else
       usable.push_back(home);
   }
-  auto const byBalance = [](home_ask const& aLeft, home_ask const& aRight) {
+  auto const byBalance = [](slot_request const& aLeft,
+                            slot_request const& aRight) {
     return aLeft.mTokens > aRight.mTokens;
   };
   std::stable_sort(usable.begin(), usable.end(), byBalance);
@@ -112,9 +114,9 @@
   return usable;
 }
 
-std::vector<home_ask>
-home_chooser::Spread(token_count aTokens,
-                     std::span<home_ask const> aUsable) const
+std::vector<slot_request>
+lender_selector::Spread(token_count aTokens,
+                        std::span<slot_request const> aUsable) const
 {
   // Half a burst is what a home is likely to have before long.
   token_count const likely = std::max<token_count>(1, mShare.mBurst / 2);
@@ -122,8 +124,9 @@
   token_count const pieces =
     std::min(wanted, static_cast<token_count>(aUsable.size()));
   token_count const piece = (aTokens + pieces - 1) / pieces;
-  std::vector<home_ask> asks;
-  for (home_ask const& home : aUsable.first(static_cast<std::size_t>(pieces)))
+  std::vector<slot_request> asks;
+  for (slot_request const& home :
+       aUsable.first(static_cast<std::size_t>(pieces)))
     asks.push_back(
       { .mSlot = home.mSlot, .mTokens = std::min(piece, mShare.mBurst) });
   return asks;
--- a/Libraries/LibLimits/HomeChooser.h
+++ b/Libraries/LibLimits/LenderSelector.h
@@ -1,8 +1,8 @@
 #pragma once
 
 #include <LibCore/Instant.h>
-#include <LibLimits/HomeAsk.h>
 #include <LibLimits/SlotFold.h>
+#include <LibLimits/SlotRequest.h>
 #include <LibLimits/SlotShare.h>
 
 #include <map>
@@ -14,20 +14,20 @@
 
 /// Chooses which homes of one workspace a borrower asks, by what their last
 /// answers told of their balances.
-class home_chooser
+class lender_selector
 {
 public:
-  home_chooser(slot_share aShare, std::span<slot_id const> aHomes);
+  lender_selector(slot_share aShare, std::span<slot_id const> aHomes);
 
   /// Puts new limits in force.
   void SetShare(slot_share aShare) noexcept { mShare = aShare; }
 
   /// The asks that together bring aTokens, as few as the balances allow;
   /// empty while every home is paused or without a holder.
-  std::vector<home_ask> Plan(instant aNow,
-                             token_count aTokens,
-                             slot_fold const& aSlots,
-                             instance_id const& aSelf);
+  std::vector<slot_request> Plan(instant aNow,
+                                 token_count aTokens,
+                                 slot_fold const& aSlots,
+                                 instance_id const& aSelf);
 
   /// A home has told its balance less what waits for it.
   void OnBalance(instant aNow, slot_id aSlot, token_count aLeft);
@@ -48,13 +48,13 @@
 
   [[nodiscard]] token_count Estimate(instant aNow,
                                      home_view const& aView) const;
-  [[nodiscard]] std::vector<home_ask> Usable(instant aNow,
-                                             slot_fold const& aSlots,
-                                             instance_id const& aSelf,
-                                             token_count aTokens) const;
-  [[nodiscard]] std::vector<home_ask> Spread(
+  [[nodiscard]] std::vector<slot_request> Usable(instant aNow,
+                                                 slot_fold const& aSlots,
+                                                 instance_id const& aSelf,
+                                                 token_count aTokens) const;
+  [[nodiscard]] std::vector<slot_request> Spread(
     token_count aTokens,
-    std::span<home_ask const> aUsable) const;
+    std::span<slot_request const> aUsable) const;
 
   slot_share mShare;
   std::map<slot_id, home_view> mViews;
--- a/Libraries/LibLimits/HomeStanding.cpp
+++ b/Libraries/LibLimits/LendingQuorum.cpp
@@ -1,4 +1,4 @@
-#include <LibLimits/HomeStanding.h>
+#include <LibLimits/LendingQuorum.h>
 
 #include <algorithm>
 #include <functional>
@@ -6,14 +6,14 @@
 
 namespace lycheeseam {
 
-home_standing::home_standing(slot_layout aLayout, budget_timing aTiming)
+lending_quorum::lending_quorum(slot_layout aLayout, budget_timing aTiming)
   : mLayout(aLayout)
   , mTiming(aTiming)
 {
 }
 
 void
-home_standing::OnTailRead(instant aReadAt)
+lending_quorum::OnTailRead(instant aReadAt)
 {
   mEverRead = true;
   mReadUntil = std::max(mReadUntil, aReadAt + mTiming.mConfirmBound);
@@ -23,13 +23,13 @@
 }
 
 void
-home_standing::OnOwnSlots(std::span<slot_id const> aSlots)
+lending_quorum::OnOwnSlots(std::span<slot_id const> aSlots)
 {
   mOwnSlots = { aSlots.begin(), aSlots.end() };
 }
 
 void
-home_standing::OnWord(instant aNow, quorum_answer const& aWord)
+lending_quorum::OnWord(instant aNow, quorum_answer const& aWord)
 {
   for (slot_id const slot : aWord.mSlots) {
     instant& contact = mContacts[slot];
@@ -45,25 +45,25 @@
   mContactUntil = std::max(mContactUntil, contactAt + mTiming.mConfirmBound);
 }
 
-giving_permission
-home_standing::At(instant aNow) const
+lending_state
+lending_quorum::At(instant aNow) const
 {
   // Without a vote of the slots held here no majority can form elsewhere.
   bool const isMajority = mOwnSlots.size() >= Majority();
   bool const isInTouch = mIsChained && aNow <= mContactUntil;
   bool const holds =
     mEverRead && (isMajority || isInTouch || aNow <= mReadUntil);
-  return holds ? giving_permission::Granted : giving_permission::Withheld;
+  return holds ? lending_state::Granted : lending_state::Withheld;
 }
 
 std::size_t
-home_standing::Majority() const
+lending_quorum::Majority() const
 {
   return mLayout.mSlots / 2 + 1;
 }
 
 instant
-home_standing::MajorityContactAt() const
+lending_quorum::MajorityContactAt() const
 {
   // Own slots are always in touch; the others must make up the rest.
   if (mOwnSlots.size() >= Majority())
--- a/Libraries/LibLimits/HomeStanding.h
+++ b/Libraries/LibLimits/LendingQuorum.h
@@ -2,7 +2,7 @@
 
 #include <LibCore/Instant.h>
 #include <LibLimits/BudgetTiming.h>
-#include <LibLimits/GivingPermission.h>
+#include <LibLimits/LendingState.h>
 #include <LibLimits/QuorumAnswer.h>
 #include <LibLimits/SlotLayout.h>
 
@@ -20,10 +20,10 @@
 /// than half of the slots without a break since it last read the tail: a slot
 /// that was claimed anew opens only on the word of such a majority that its
 /// former holder is silent (slot_release), and two majorities share a slot.
-class home_standing
+class lending_quorum
 {
 public:
-  home_standing(slot_layout aLayout, budget_timing aTiming);
+  lending_quorum(slot_layout aLayout, budget_timing aTiming);
 
   /// This instance has folded every entry that the log held at aReadAt.
   void OnTailRead(instant aReadAt);
@@ -35,7 +35,7 @@
   void OnWord(instant aNow, quorum_answer const& aWord);
 
   /// Whether tokens may be lent now.
-  [[nodiscard]] giving_permission At(instant aNow) const;
+  [[nodiscard]] lending_state At(instant aNow) const;
 
 private:
   [[nodiscard]] std::size_t Majority() const;
--- a/Libraries/LibLimits/GivingPermission.h
+++ b/Libraries/LibLimits/LendingState.h
@@ -3,7 +3,7 @@
 namespace lycheeseam {
 
 /// Whether a holder may lend from its slots now; see home_standing.
-enum class giving_permission
+enum class lending_state
 {
   Granted,
   Withheld,
--- a/Libraries/LibLimits/LoanPurse.cpp
+++ b/Libraries/LibLimits/LoanBalance.cpp
@@ -1,4 +1,4 @@
-#include <LibLimits/LoanPurse.h>
+#include <LibLimits/LoanBalance.h>
 
 #include <algorithm>
 #include <cassert>
@@ -6,7 +6,7 @@
 namespace lycheeseam {
 
 void
-loan_purse::Add(charge_part const& aLoan, instant aLapsesAt)
+loan_balance::Add(charge_part const& aLoan, instant aLapsesAt)
 {
   auto const byLapse = [](instant aAt, held_loan const& aHeld) {
     return aAt < aHeld.mLapsesAt;
@@ -18,7 +18,7 @@
 }
 
 void
-loan_purse::Expire(instant aNow)
+loan_balance::Expire(instant aNow)
 {
   auto const isUsable = [aNow](held_loan const& aHeld) {
     return aNow < aHeld.mLapsesAt;
@@ -30,7 +30,7 @@
 }
 
 std::vector<charge_part>
-loan_purse::Take(token_count aTokens)
+loan_balance::Take(token_count aTokens)
 {
   assert(aTokens <= mAvailable);
   mAvailable -= aTokens;
--- a/Libraries/LibLimits/LoanPurse.h
+++ b/Libraries/LibLimits/LoanBalance.h
@@ -8,7 +8,7 @@
 namespace lycheeseam {
 
 /// The borrowed tokens of one workspace at this instance.
-class loan_purse
+class loan_balance
 {
 public:
   /// Adds a loan that may be spent before aLapsesAt.
--- a/Libraries/LibLimits/SilenceWatch.cpp
+++ b/Libraries/LibLimits/PeerActivity.cpp
@@ -1,16 +1,16 @@
-#include <LibLimits/SilenceWatch.h>
+#include <LibLimits/PeerActivity.h>
 
 #include <set>
 
 namespace lycheeseam {
 
-silence_watch::silence_watch(budget_timing aTiming)
+peer_activity::peer_activity(budget_timing aTiming)
   : mTiming(aTiming)
 {
 }
 
 void
-silence_watch::OnTick(instant aNow)
+peer_activity::OnTick(instant aNow)
 {
   if (!mStarted || aNow > mTickedAt + mTiming.mSilence / 4)
     mListeningSince = aNow;
@@ -19,13 +19,13 @@
 }
 
 void
-silence_watch::OnHeard(instant aNow, instance_id const& aPeer)
+peer_activity::OnHeard(instant aNow, instance_id const& aPeer)
 {
   mHeardAt[aPeer] = aNow;
 }
 
 std::vector<instance_id>
-silence_watch::Silent(instant aNow, slot_fold const& aSlots) const
+peer_activity::Silent(instant aNow, slot_fold const& aSlots) const
 {
   bool const isAttentive = mStarted &&
                            aNow <= mTickedAt + mTiming.mSilence / 4 &&
--- a/Libraries/LibLimits/SilenceWatch.h
+++ b/Libraries/LibLimits/PeerActivity.h
@@ -11,10 +11,10 @@
 namespace lycheeseam {
 
 /// Remembers when each peer was last heard, to testify who is silent.
-class silence_watch
+class peer_activity
 {
 public:
-  explicit silence_watch(budget_timing aTiming);
+  explicit peer_activity(budget_timing aTiming);
 
   /// Called at least every mSilence / 4 while the process runs: after a longer
   /// gap it may have missed messages and starts to listen anew.
--- a/Libraries/LibLimits/HomeAsk.h
+++ b/Libraries/LibLimits/SlotRequest.h
@@ -6,12 +6,12 @@
 namespace lycheeseam {
 
 /// How many tokens to ask of one home.
-struct home_ask
+struct slot_request
 {
   slot_id mSlot;
   token_count mTokens = 0;
 
-  bool operator==(home_ask const&) const = default;
+  bool operator==(slot_request const&) const = default;
 };
 
 }
--- a/Libraries/LibLimits/HomeSlots.cpp
+++ b/Libraries/LibLimits/WorkspaceSlots.cpp
@@ -1,4 +1,4 @@
-#include <LibLimits/HomeSlots.h>
+#include <LibLimits/WorkspaceSlots.h>
 
 #include <xxhash.h>
 
@@ -20,7 +20,7 @@
 }
 
 std::vector<slot_id>
-HomeSlots(workspace_id const& aWorkspace, slot_layout aLayout)
+WorkspaceSlots(workspace_id const& aWorkspace, slot_layout aLayout)
 {
   std::vector<slot_id> slots;
   slots.reserve(aLayout.mSlots);
--- a/Libraries/LibLimits/HomeSlots.h
+++ b/Libraries/LibLimits/WorkspaceSlots.h
@@ -10,6 +10,6 @@
 /// The home slots of a workspace in ascending order: every slot of a small
 /// layout, else a rendezvous choice that all instances agree on.
 std::vector<slot_id>
-HomeSlots(workspace_id const& aWorkspace, slot_layout aLayout);
+WorkspaceSlots(workspace_id const& aWorkspace, slot_layout aLayout);
 
 }
--- a/Tests/LibLimits/TestHomeStanding.cpp
+++ b/Tests/LibLimits/TestLendingQuorum.cpp
@@ -1,4 +1,4 @@
-#include <LibLimits/HomeStanding.h>
+#include <LibLimits/LendingQuorum.h>
 
 #include <gtest/gtest.h>
 
@@ -31,10 +31,10 @@
 
   bool MayLend(int aNow)
   {
-    return mStanding.At(At(aNow)) == giving_permission::Granted;
+    return mStanding.At(At(aNow)) == lending_state::Granted;
   }
 
-  home_standing mStanding{ { .mSlots = 3, .mHomes = 3 }, {} };
+  lending_quorum mStanding{ { .mSlots = 3, .mHomes = 3 }, {} };
 };
 
 TEST_F(home_standing_test, ContactAloneAllowsNothing)
--- a/Tests/LibLimits/VirtualFleetFaults.cpp
+++ b/Tests/LibLimits/VirtualFleetFaults.cpp
@@ -68,7 +68,7 @@
   auto const mayLendByOldLimits = [&](member const& aMember) {
     return aMember.mIsUp && aMember.mNextEntry < aEntries &&
            aMember.mBudget->Permission(LocalNow(aMember)) ==
-             giving_permission::Granted;
+             lending_state::Granted;
   };
   if (std::ranges::any_of(mMembers, mayLendByOldLimits)) {
     At(mNow + milliseconds{ 100 },
--- a/Tests/Models/TokenEscrow.pml
+++ b/Tests/Models/TokenEscrow.pml
@@ -1,7 +1,7 @@
 /*
  * One home slot of a workspace's budget over a takeover.
  *
- * Mirrors Libraries/LibLimits: SlotAccount.cpp (accrual, loans), HomeStanding.cpp
+ * Mirrors Libraries/LibLimits: SlotAccount.cpp (accrual, loans), LendingQuorum.cpp
  * (hold), SlotRelease.cpp (votes, waiting), OpeningWait.cpp (wait) and
  * SlotFold.cpp (the first claim on a base wins).
  *
