--- a/Libraries/LibLimits/BudgetHome.cpp
+++ b/Libraries/LibLimits/BudgetLender.cpp
@@ -1,5 +1,5 @@
-#include <LibLimits/BudgetHome.h>
-#include <LibLimits/HomeSlots.h>
+#include <LibLimits/BudgetLender.h>
+#include <LibLimits/WorkspaceSlots.h>
 
 #include <algorithm>
 #include <utility>
@@ -8,15 +8,15 @@
 
 namespace {
 
-// An ask that waits is looked at again after at least this, so that a balance
-// held back by open loans costs few wake-ups.
-constexpr duration kShortestWake = std::chrono::milliseconds{ 2 };
+// A queue is served again after at least this time, so that a balance which
+// outstanding loans keep from growing costs few wake-ups.
+constexpr duration kMinServeDelay = std::chrono::milliseconds{ 2 };
 
 }
 
-budget_home::budget_home(instance_identity aSelf,
-                         slot_layout aLayout,
-                         budget_timing aTiming)
+budget_lender::budget_lender(instance_identity aSelf,
+                             slot_layout aLayout,
+                             budget_timing aTiming)
   : mSelf(std::move(aSelf))
   , mTiming(aTiming)
   , mLayout(aLayout)
@@ -24,23 +24,23 @@
 }
 
 void
-budget_home::OnSlots(slot_fold const& aSlots)
+budget_lender::OnSlots(slot_fold const& aSlots)
 {
-  std::vector<slot_id> lost;
+  std::vector<slot_id> dropped;
   for (auto const& [slot, held] : mHeld) {
     slot_holder const* const holder = aSlots.Find(slot);
     if (holder == nullptr || holder->mClaim != held.mClaim)
-      lost.push_back(slot);
+      dropped.push_back(slot);
   }
-  for (slot_id const slot : lost)
+  for (slot_id const slot : dropped)
     DropSlot(slot);
 }
 
 void
-budget_home::OpenSlot(instant aNow,
-                      slot_id aSlot,
-                      log_offset aClaim,
-                      instant aAccruesFrom)
+budget_lender::OpenSlot(instant aNow,
+                        slot_id aSlot,
+                        log_offset aClaim,
+                        instant aAccruesFrom)
 {
   mHeld[aSlot] = { .mClaim = aClaim, .mAccruesFrom = aAccruesFrom };
   for (auto const& [name, row] : mRows)
@@ -48,7 +48,7 @@
 }
 
 std::vector<slot_id>
-budget_home::OpenSlots() const
+budget_lender::OpenSlots() const
 {
   std::vector<slot_id> slots;
   for (auto const& [slot, held] : mHeld)
@@ -57,11 +57,11 @@
 }
 
 void
-budget_home::OnLimits(instant aNow, workspace_row const& aRow)
+budget_lender::OnLimits(instant aNow, workspace_row const& aRow)
 {
   mRows[aRow.mName] = aRow;
-  std::vector<slot_id> const homes = HomeSlots(aRow.mName, mLayout);
-  slot_share const share = slot_share::Of(aRow, homes.size());
+  std::vector<slot_id> const slots = WorkspaceSlots(aRow.mName, mLayout);
+  slot_share const share = slot_share::Of(aRow, slots.size());
   for (auto const& [slot, held] : mHeld) {
     auto const found = mAccounts.find({ aRow.mName, slot });
     if (found == mAccounts.end())
@@ -72,7 +72,7 @@
 }
 
 void
-budget_home::OnWorkspaceRemoved(workspace_id const& aWorkspace)
+budget_lender::OnWorkspaceRemoved(workspace_id const& aWorkspace)
 {
   mRows.erase(aWorkspace);
   std::erase_if(mAccounts, [&aWorkspace](auto const& aEntry) {
@@ -81,21 +81,21 @@
 }
 
 void
-budget_home::OnRequest(instant aNow,
-                       giving_permission aPermission,
-                       token_request const& aRequest)
+budget_lender::OnRequest(instant aNow,
+                         lending_state aLending,
+                         token_request const& aRequest)
 {
   auto const found = mAccounts.find({ aRequest.mWorkspace, aRequest.mSlot });
   if (found == mAccounts.end()) {
     Answer(aRequest, grant_result::NotHolder, nullptr);
     return;
   }
-  home_account& account = found->second;
-  if (aPermission == giving_permission::Withheld || aRequest.mWanted <= 0) {
+  lending_account& account = found->second;
+  if (aLending == lending_state::Withheld || aRequest.mWanted <= 0) {
     Answer(aRequest, grant_result::Withheld, &account);
     return;
   }
-  Serve(aNow, account, aPermission);
+  ServeQueue(aNow, account, aLending);
   if (account.mWaiting.empty() &&
       account.mTokens.Balance() >= aRequest.mWanted) {
     Lend(aNow, account, aRequest);
@@ -105,28 +105,28 @@
     Answer(aRequest, grant_result::Short, &account);
     return;
   }
-  duration const patience =
-    std::min(aRequest.mPatience, mTiming.mQueuePatience);
+  duration const queueTime =
+    std::min(aRequest.mMaxQueueTime, mTiming.mQueueTimeLimit);
   account.mWaiting.push_back(
-    { .mRequest = aRequest, .mDeadline = aNow + patience });
+    { .mRequest = aRequest, .mDeadline = aNow + queueTime });
   account.mWaitingTokens += aRequest.mWanted;
   Answer(aRequest, grant_result::Queued, &account);
-  Serve(aNow, account, aPermission);
+  ServeQueue(aNow, account, aLending);
 }
 
 token_count
-budget_home::OnRefund(instant aNow, token_refund const& aRefund)
+budget_lender::OnRefund(instant aNow, token_refund const& aRefund)
 {
-  home_account* const account =
+  lending_account* const account =
     FindAccount(aRefund.mWorkspace, aRefund.mSlot, aRefund.mClaim);
   return account == nullptr ? 0
                             : account->mTokens.Refund(aNow, aRefund.mTokens);
 }
 
 void
-budget_home::OnReport(instant aNow, token_report const& aReport)
+budget_lender::OnReport(instant aNow, token_report const& aReport)
 {
-  home_account* const account =
+  lending_account* const account =
     FindAccount(aReport.mWorkspace, aReport.mSlot, aReport.mClaim);
   if (account == nullptr)
     return;
@@ -135,16 +135,16 @@
 }
 
 void
-budget_home::Tick(instant aNow, giving_permission aPermission)
+budget_lender::Tick(instant aNow, lending_state aLending)
 {
   for (auto& [key, account] : mAccounts) {
     if (!account.mWaiting.empty() && account.mServeAt <= aNow)
-      Serve(aNow, account, aPermission);
+      ServeQueue(aNow, account, aLending);
   }
 }
 
 std::optional<instant>
-budget_home::NextWake() const
+budget_lender::NextWake() const
 {
   std::optional<instant> next;
   for (auto const& [key, account] : mAccounts) {
@@ -156,28 +156,30 @@
 }
 
 std::vector<budget_envelope>
-budget_home::TakeOutbox()
+budget_lender::TakeOutbox()
 {
   return std::exchange(mOutbox, {});
 }
 
 void
-budget_home::OpenAccount(instant aNow, workspace_row const& aRow, slot_id aSlot)
+budget_lender::OpenAccount(instant aNow,
+                           workspace_row const& aRow,
+                           slot_id aSlot)
 {
-  std::vector<slot_id> const homes = HomeSlots(aRow.mName, mLayout);
-  if (!std::binary_search(homes.begin(), homes.end(), aSlot))
+  std::vector<slot_id> const slots = WorkspaceSlots(aRow.mName, mLayout);
+  if (!std::binary_search(slots.begin(), slots.end(), aSlot))
     return;
   held_slot const& held = mHeld.at(aSlot);
-  slot_account tokens{ slot_share::Of(aRow, homes.size()),
+  slot_account tokens{ slot_share::Of(aRow, slots.size()),
                        std::max(aNow, held.mAccruesFrom),
-                       mTiming.mHomeLapse };
+                       mTiming.mLenderLoanExpiry };
   mAccounts.insert_or_assign(
     account_key{ aRow.mName, aSlot },
-    home_account{ .mClaim = held.mClaim, .mTokens = std::move(tokens) });
+    lending_account{ .mClaim = held.mClaim, .mTokens = std::move(tokens) });
 }
 
 void
-budget_home::DropSlot(slot_id aSlot)
+budget_lender::DropSlot(slot_id aSlot)
 {
   mHeld.erase(aSlot);
   std::erase_if(mAccounts, [aSlot](auto const& aEntry) {
@@ -185,10 +187,10 @@
   });
 }
 
-budget_home::home_account*
-budget_home::FindAccount(workspace_id const& aWorkspace,
-                         slot_id aSlot,
-                         log_offset aClaim)
+budget_lender::lending_account*
+budget_lender::FindAccount(workspace_id const& aWorkspace,
+                           slot_id aSlot,
+                           log_offset aClaim)
 {
   auto const found = mAccounts.find({ aWorkspace, aSlot });
   if (found == mAccounts.end() || found->second.mClaim != aClaim)
@@ -197,24 +199,24 @@
 }
 
 bool
-budget_home::WillAccrue(home_account const& aAccount,
-                        token_request const& aRequest) const
+budget_lender::WillAccrue(lending_account const& aAccount,
+                          token_request const& aRequest) const
 {
   token_count const burst = aAccount.mTokens.Share().mBurst;
   if (aRequest.mWanted > burst)
     return false;
   token_count const missing =
     aAccount.mWaitingTokens + aRequest.mWanted - aAccount.mTokens.Balance();
-  duration const patience =
-    std::min(aRequest.mPatience, mTiming.mQueuePatience);
-  return aAccount.mTokens.AccrualTime(missing) <= patience;
+  duration const queueTime =
+    std::min(aRequest.mMaxQueueTime, mTiming.mQueueTimeLimit);
+  return aAccount.mTokens.AccrualTime(missing) <= queueTime;
 }
 
 void
-budget_home::Answer(token_request const& aRequest,
-                    grant_result aResult,
-                    home_account const* aAccount,
-                    loan_id aLoan)
+budget_lender::Answer(token_request const& aRequest,
+                      grant_result aResult,
+                      lending_account const* aAccount,
+                      loan_id aLoan)
 {
   token_grant grant{ .mTo = aRequest.mFrom,
                      .mSequence = aRequest.mSequence,
@@ -234,24 +236,24 @@
 }
 
 void
-budget_home::Lend(instant aNow,
-                  home_account& aAccount,
-                  token_request const& aRequest)
+budget_lender::Lend(instant aNow,
+                    lending_account& aAccount,
+                    token_request const& aRequest)
 {
   loan_id const loan = aAccount.mTokens.Lend(aNow, aRequest.mWanted);
   Answer(aRequest, grant_result::Lent, &aAccount, loan);
 }
 
 void
-budget_home::Serve(instant aNow,
-                   home_account& aAccount,
-                   giving_permission aPermission)
+budget_lender::ServeQueue(instant aNow,
+                          lending_account& aAccount,
+                          lending_state aLending)
 {
   aAccount.mTokens.Advance(aNow);
   while (!aAccount.mWaiting.empty()) {
-    waiting_ask const head = aAccount.mWaiting.front();
+    queued_request const head = aAccount.mWaiting.front();
     bool const isCovered = aAccount.mTokens.Balance() >= head.mRequest.mWanted;
-    bool const mayLend = aPermission == giving_permission::Granted;
+    bool const mayLend = aLending == lending_state::Granted;
     if (!(isCovered && mayLend) && aNow < head.mDeadline)
       break;
     aAccount.mWaiting.pop_front();
@@ -263,11 +265,11 @@
   }
   if (aAccount.mWaiting.empty())
     return;
-  waiting_ask const& head = aAccount.mWaiting.front();
+  queued_request const& head = aAccount.mWaiting.front();
   token_count const missing =
     head.mRequest.mWanted - aAccount.mTokens.Balance();
   duration const wait =
-    std::max(kShortestWake, aAccount.mTokens.AccrualTime(missing));
+    std::max(kMinServeDelay, aAccount.mTokens.AccrualTime(missing));
   aAccount.mServeAt = std::min(aNow + wait, head.mDeadline);
 }
 
--- a/Libraries/LibLimits/HomeSlots.cpp
+++ b/Libraries/LibLimits/WorkspaceSlots.cpp
@@ -1,4 +1,4 @@
-#include <LibLimits/HomeSlots.h>
+#include <LibLimits/WorkspaceSlots.h>
 
 #include <xxhash.h>
 
@@ -20,19 +20,19 @@
 }
 
 std::vector<slot_id>
-HomeSlots(workspace_id const& aWorkspace, slot_layout aLayout)
+WorkspaceSlots(workspace_id const& aWorkspace, slot_layout aLayout)
 {
   std::vector<slot_id> slots;
   slots.reserve(aLayout.mSlots);
   for (std::uint64_t i = 1; i <= aLayout.mSlots; ++i)
     slots.emplace_back(i);
-  if (aLayout.mSlots <= aLayout.mHomes)
+  if (aLayout.mSlots <= aLayout.mSlotsPerWorkspace)
     return slots;
   auto const byScore = [&aWorkspace](slot_id aLeft, slot_id aRight) {
     return Score(aWorkspace, aLeft) > Score(aWorkspace, aRight);
   };
   std::sort(slots.begin(), slots.end(), byScore);
-  slots.resize(aLayout.mHomes);
+  slots.resize(aLayout.mSlotsPerWorkspace);
   std::sort(slots.begin(), slots.end());
   return slots;
 }
--- a/Tests/Models/TokenEscrow.pml
+++ b/Tests/Models/TokenEscrow.pml
@@ -1,7 +1,7 @@
 /*
  * One home slot of a workspace's budget over a takeover.
  *
- * Mirrors Libraries/LibLimits: SlotAccount.cpp (accrual, loans), HomeStanding.cpp
+ * Mirrors Libraries/LibLimits: SlotAccount.cpp (accrual, loans), LendingQuorum.cpp
  * (hold), SlotRelease.cpp (votes, waiting), OpeningWait.cpp (wait) and
  * SlotFold.cpp (the first claim on a base wins).
  *
@@ -21,7 +21,7 @@
 #endif
 #define LAPSE 2      /* a loan may be spent this long after the ask */
 #define CONFIRM 1    /* mConfirmBound */
-#define SILENCE 3    /* mSilence, more than CONFIRM and one tick of a word */
+#define SILENCE 3    /* mUnresponsiveAfter, more than CONFIRM and one tick of a word */
 #define WAIT 4       /* mTakeoverWait: CONFIRM + LAPSE and one tick */
 
 byte now = 0;
