--- a/Libraries/LibFleet/ComposeReport.h
+++ b/Libraries/LibFleet/ComposeReport.h
@@ -1,7 +1,7 @@
 #pragma once
 
-#include <LibFleet/PeerBook.h>
-#include <LibFleet/ReportNews.h>
+#include <LibFleet/PeerRegistry.h>
+#include <LibFleet/ReportUpdate.h>
 #include <LibPeer/FleetReport.h>
 #include <LibPeer/FleetRoster.h>
 
--- a/Libraries/LibFleet/FleetControl.h
+++ b/Libraries/LibFleet/FleetControl.h
@@ -10,8 +10,8 @@
 #include <LibFleet/FleetRecords.h>
 #include <LibFleet/InstanceRegistration.h>
 #include <LibFleet/OrderDriver.h>
-#include <LibFleet/StoreWatch.h>
-#include <LibFleet/UsageKeeper.h>
+#include <LibFleet/StoreFollower.h>
+#include <LibFleet/UsageWriter.h>
 #include <LibGateway/PeerUpdate.h>
 #include <LibGateway/QuerySession.h>
 #include <LibGateway/SessionListener.h>
--- a/Libraries/LibFleet/FleetLinks.h
+++ b/Libraries/LibFleet/FleetLinks.h
@@ -2,7 +2,7 @@
 
 #include <LibCore/SystemClock.h>
 #include <LibEvents/EventLog.h>
-#include <LibFleet/PeerBook.h>
+#include <LibFleet/PeerRegistry.h>
 #include <LibFleet/ReportExchange.h>
 #include <LibMembership/QuietLinkSupervisor.h>
 #include <LibPeer/PeerHub.h>
--- a/Libraries/LibFleet/FleetRecords.h
+++ b/Libraries/LibFleet/FleetRecords.h
@@ -5,7 +5,7 @@
 #include <LibFleet/FleetDialect.h>
 #include <LibFleet/OperatorState.h>
 #include <LibFleet/PageSource.h>
-#include <LibFleet/ServerRegister.h>
+#include <LibFleet/ServerRegistry.h>
 
 #include <span>
 #include <string>
--- a/Libraries/LibFleet/OrderDriver.h
+++ b/Libraries/LibFleet/OrderDriver.h
@@ -8,8 +8,8 @@
 #include <LibEvents/EventLog.h>
 #include <LibFleet/EngineReport.h>
 #include <LibFleet/OrderLease.h>
+#include <LibFleet/RollingUpdatePlan.h>
 #include <LibFleet/StoreCalls.h>
-#include <LibFleet/TurnoverPlan.h>
 #include <LibFleet/WeightsOrder.h>
 #include <LibHttp/HttpStatus.h>
 
--- a/Libraries/LibFleet/PeerBook.cpp
+++ b/Libraries/LibFleet/PeerRegistry.cpp
@@ -1,4 +1,4 @@
-#include <LibFleet/PeerBook.h>
+#include <LibFleet/PeerRegistry.h>
 
 #include <algorithm>
 #include <chrono>
--- a/Libraries/LibFleet/PeerBook.h
+++ b/Libraries/LibFleet/PeerRegistry.h
@@ -5,7 +5,7 @@
 #include <LibDispatch/WorkspaceUsage.h>
 #include <LibFleet/KnownInstances.h>
 #include <LibFleet/PeerLink.h>
-#include <LibFleet/SpendingTally.h>
+#include <LibFleet/PeerUsage.h>
 
 #include <cstdint>
 #include <map>
--- a/Libraries/LibFleet/SpendingTally.cpp
+++ b/Libraries/LibFleet/PeerUsage.cpp
@@ -1,4 +1,4 @@
-#include <LibFleet/SpendingTally.h>
+#include <LibFleet/PeerUsage.h>
 
 #include <algorithm>
 
--- a/Libraries/LibFleet/StoreDuty.cpp
+++ b/Libraries/LibFleet/ReaderElection.cpp
@@ -1,4 +1,4 @@
-#include <LibFleet/StoreDuty.h>
+#include <LibFleet/ReaderElection.h>
 
 namespace lycheeseam {
 
--- a/Libraries/LibFleet/ReportExchange.h
+++ b/Libraries/LibFleet/ReportExchange.h
@@ -1,8 +1,8 @@
 #pragma once
 
 #include <LibFleet/ComposeReport.h>
-#include <LibFleet/PeerBook.h>
-#include <LibFleet/ReportLayout.h>
+#include <LibFleet/PeerRegistry.h>
+#include <LibFleet/ReportTopology.h>
 #include <LibPeer/FleetMessage.h>
 
 #include <chrono>
--- a/Libraries/LibFleet/TurnoverPlan.cpp
+++ b/Libraries/LibFleet/RollingUpdatePlan.cpp
@@ -1,5 +1,5 @@
 #include <LibDispatch/FindServer.h>
-#include <LibFleet/TurnoverPlan.h>
+#include <LibFleet/RollingUpdatePlan.h>
 
 #include <algorithm>
 #include <cmath>
--- a/Libraries/LibFleet/TurnoverPlan.h
+++ b/Libraries/LibFleet/RollingUpdatePlan.h
@@ -4,7 +4,7 @@
 #include <LibDispatch/TargetWeights.h>
 #include <LibFleet/EngineReport.h>
 #include <LibFleet/OrderAnswer.h>
-#include <LibFleet/TurnoverTiming.h>
+#include <LibFleet/RollingUpdateTiming.h>
 
 #include <cstdint>
 #include <map>
--- a/Libraries/LibFleet/StoreWatch.h
+++ b/Libraries/LibFleet/StoreFollower.h
@@ -3,7 +3,7 @@
 #include <LibCore/SystemClock.h>
 #include <LibEvents/EventLog.h>
 #include <LibFleet/PageSource.h>
-#include <LibFleet/StoreDuty.h>
+#include <LibFleet/ReaderElection.h>
 #include <LibFleet/TopicReader.h>
 #include <LibPeer/TopicRelay.h>
 #include <LibStore/TopicState.h>
--- a/Tests/LibFleet/TestPeerBook.cpp
+++ b/Tests/LibFleet/TestPeerRegistry.cpp
@@ -1,5 +1,5 @@
-#include <LibFleet/PeerBook.h>
-#include <LibFleet/StoreDuty.h>
+#include <LibFleet/PeerRegistry.h>
+#include <LibFleet/ReaderElection.h>
 
 #include <gtest/gtest.h>
 
--- a/Tests/LibFleet/TestReportLayout.cpp
+++ b/Tests/LibFleet/TestReportTopology.cpp
@@ -1,4 +1,4 @@
-#include <LibFleet/ReportLayout.h>
+#include <LibFleet/ReportTopology.h>
 
 #include <gtest/gtest.h>
 
--- a/Tests/LibFleet/TestTurnoverPlan.cpp
+++ b/Tests/LibFleet/TestRollingUpdatePlan.cpp
@@ -1,4 +1,4 @@
-#include <LibFleet/TurnoverPlan.h>
+#include <LibFleet/RollingUpdatePlan.h>
 
 #include <gtest/gtest.h>
 
--- a/Tests/LibFleet/TestServerRegister.cpp
+++ b/Tests/LibFleet/TestServerRegistry.cpp
@@ -1,4 +1,4 @@
-#include <LibFleet/ServerRegister.h>
+#include <LibFleet/ServerRegistry.h>
 
 #include <gtest/gtest.h>
 
