--- a/Libraries/LibFleet/ComposeReport.cpp
+++ b/Libraries/LibFleet/ComposeReport.cpp
@@ -8,11 +8,13 @@
 
 namespace {
 
-// What came over a link is told on to a child by its parent unless the child
-// told it, and to others only if it came from a child: so nothing is told in a
-// ring, and nothing twice.
+// A parent forwards to a child what came over any other link. To its parent and
+// to other roots an instance forwards only what came from its children. So no
+// information travels in a cycle, and none arrives twice.
 bool
-SpeaksFor(peer_link const& aLink, report_scope aScope, instance_id const& aTo)
+ForwardsLink(peer_link const& aLink,
+             report_scope aScope,
+             instance_id const& aTo)
 {
   if (!aLink.mReportedAt)
     return false;
@@ -22,9 +24,12 @@
 }
 
 bool
-IsToldOn(report_news const& aNews, report_scope aScope, instance_id const& aTo)
+ForwardsUpdate(report_update const& aUpdate,
+               report_scope aScope,
+               instance_id const& aTo)
 {
-  return aScope == report_scope::Rest ? aNews.mFrom != aTo : aNews.mIsOfBranch;
+  return aScope == report_scope::Rest ? aUpdate.mFrom != aTo
+                                      : aUpdate.mIsOfBranch;
 }
 
 template<typename Item>
@@ -34,9 +39,10 @@
   aTo.insert(aTo.end(), aFrom.begin(), aFrom.end());
 }
 
-// The newest lease and the first reader of those that the report speaks for.
+// Keeps the newest lease and the first reader by id of all instances that the
+// report covers.
 void
-AddStanding(fleet_report& aReport, fleet_report const& aOther)
+MergeLeaseAndReader(fleet_report& aReport, fleet_report const& aOther)
 {
   if (aOther.mLease > aReport.mLease) {
     aReport.mLease = aOther.mLease;
@@ -52,9 +58,9 @@
 
 fleet_report
 ComposeReport(instant aNow,
-              peer_book const& aBook,
+              peer_registry const& aRegistry,
               fleet_report const& aOwn,
-              std::span<report_news const> aNews,
+              std::span<report_update const> aUpdates,
               report_scope aScope,
               instance_id const& aTo)
 {
@@ -63,47 +69,47 @@
                        .mReader = aOwn.mReader,
                        .mUpdating = aOwn.mUpdating,
                        .mOperatorsEnd = aOwn.mOperatorsEnd };
-  for (auto const& [id, link] : aBook.Links()) {
-    if (link.IsLive(aNow) && SpeaksFor(link, aScope, aTo))
-      AddStanding(report, link.mReport);
+  for (auto const& [id, link] : aRegistry.Links()) {
+    if (link.IsLive(aNow) && ForwardsLink(link, aScope, aTo))
+      MergeLeaseAndReader(report, link.mReport);
   }
-  auto const target = aBook.Links().find(aTo);
-  bool const isRest =
-    aScope == report_scope::Rest && target != aBook.Links().end();
-  usage_totals spent = isRest ? aBook.Spending().SpentBesides(target->second)
-                              : aBook.Spending().SpentByChildren();
-  spent.Add(aOwn.mSpent);
-  report.mSpent = spent.List();
-  for (report_news const& news : aNews) {
-    if (!IsToldOn(news, aScope, aTo))
+  auto const target = aRegistry.Links().find(aTo);
+  bool const isForChild =
+    aScope == report_scope::Rest && target != aRegistry.Links().end();
+  usage_totals usage = isForChild ? aRegistry.Usage().Excluding(target->second)
+                                  : aRegistry.Usage().ByChildren();
+  usage.Add(aOwn.mSpent);
+  report.mSpent = usage.List();
+  for (report_update const& update : aUpdates) {
+    if (!ForwardsUpdate(update, aScope, aTo))
       continue;
-    Append(report.mCrashes, news.mCrashes);
-    Append(report.mWeights, news.mWeights);
-    Append(report.mHolders, news.mHolders);
+    Append(report.mCrashes, update.mCrashes);
+    Append(report.mWeights, update.mWeights);
+    Append(report.mHolders, update.mHolders);
   }
   return report;
 }
 
 fleet_roster
 ComposeRoster(instant aNow,
-              peer_book const& aBook,
+              peer_registry const& aRegistry,
               roster_entry const& aOwn,
               report_scope aScope,
               instance_id const& aTo)
 {
-  // While an instance changes its parent it stands behind two links, of which
-  // the live one tells the truth.
+  // While an instance changes its parent, it is in the rosters of two links;
+  // the entry of the live link is the current one.
   std::map<instance_id, roster_entry> live{ { aOwn.mHello.mIdentity.mInstance,
                                               aOwn } };
-  std::map<instance_id, roster_entry> silent;
-  for (auto const& [id, link] : aBook.Links()) {
-    if (!SpeaksFor(link, aScope, aTo))
+  std::map<instance_id, roster_entry> unresponsive;
+  for (auto const& [id, link] : aRegistry.Links()) {
+    if (!ForwardsLink(link, aScope, aTo))
       continue;
     for (roster_entry const& entry : link.mRoster.mEntries)
-      (link.IsLive(aNow) ? live : silent)
+      (link.IsLive(aNow) ? live : unresponsive)
         .try_emplace(entry.mHello.mIdentity.mInstance, entry);
   }
-  live.merge(silent);
+  live.merge(unresponsive);
   live.erase(aTo);
   fleet_roster roster;
   roster.mEntries.reserve(live.size());
--- a/Libraries/LibFleet/ComposeReport.h
+++ b/Libraries/LibFleet/ComposeReport.h
@@ -7,25 +7,27 @@
 
 #include <span>
 
-/// \file What an instance tells one of its peers, for itself and for those
-/// that it speaks for.
+/// \file The report and the roster that an instance sends to a peer: its own
+/// state together with that of the instances on whose behalf it reports.
 
 namespace lycheeseam {
 
-/// The report to a peer, or of scope Root to any root. aOwn tells of this
-/// instance alone.
+/// Composes the report of a scope for the peer aTo, which matters for scope
+/// Rest only: all roots get the same report. aOwn holds the state of this
+/// instance alone, aUpdates what was observed or received since the last
+/// report.
 fleet_report
 ComposeReport(instant aNow,
-              peer_book const& aBook,
+              peer_registry const& aRegistry,
               fleet_report const& aOwn,
-              std::span<report_news const> aNews,
+              std::span<report_update const> aUpdates,
               report_scope aScope,
               instance_id const& aTo);
 
-/// Who lives among those that such a report speaks for.
+/// Composes the roster of the instances that such a report covers, without aTo.
 fleet_roster
 ComposeRoster(instant aNow,
-              peer_book const& aBook,
+              peer_registry const& aRegistry,
               roster_entry const& aOwn,
               report_scope aScope,
               instance_id const& aTo);
--- a/Libraries/LibFleet/EngineReport.h
+++ b/Libraries/LibFleet/EngineReport.h
@@ -7,14 +7,14 @@
 
 namespace lycheeseam {
 
-/// What an engine says of itself when it is asked; a few hundred milliseconds
-/// old.
+/// The state that an engine reports on request. It is a few hundred
+/// milliseconds old.
 struct engine_report
 {
   std::vector<loaded_model> mModels;
-  /// True while it carries out an order.
+  /// True while the engine carries out an order.
   bool mIsBusy = false;
-  /// Orders that it accepted in this life.
+  /// The number of orders that the engine has accepted in this incarnation.
   std::uint64_t mOrders = 0;
 };
 
--- a/Libraries/LibFleet/FleetControl.h
+++ b/Libraries/LibFleet/FleetControl.h
@@ -29,30 +29,32 @@
 
 namespace lycheeseam {
 
-/// The control thread's state of one instance: reads the store, talks to
-/// peers, gives orders, and publishes what it knows of the fleet. Made and run
-/// on that thread.
+/// The control state of one instance: reads the store, exchanges reports with
+/// peers, gives orders to engines, and publishes a view of the fleet for the
+/// traffic thread. Runs on the control thread.
 template<fleet_dialect Dialect>
 class fleet_control
 {
 public:
-  /// Hears what other instances saw; called on the control thread.
-  using news_handler = std::function<void(peer_update)>;
+  /// Receives updates from other instances; called on the control thread.
+  using update_handler = std::function<void(peer_update)>;
 
   fleet_control(boost::asio::io_context& aContext,
                 fleet_options aOptions,
                 published<fleet_view>& aPublished,
-                news_handler aNewsHandler)
+                update_handler aUpdateHandler)
     : mOptions(std::move(aOptions))
     , mPublished(aPublished)
-    , mNewsHandler(std::move(aNewsHandler))
+    , mUpdateHandler(std::move(aUpdateHandler))
     , mClient(aContext, mMetrics.Recorder())
-    , mWatch(
+    , mFollower(
         mClient,
         mOptions.mStore,
         [this](store_topic aTopic,
-               std::span<keyed_record const> aNews,
-               page_source aSource) { OnNews(aTopic, aNews, aSource); },
+               std::span<keyed_record const> aNewRecords,
+               page_source aSource) {
+          OnNewRecords(aTopic, aNewRecords, aSource);
+        },
         [this](topic_relay const& aRelay) { mLinks.Relay(aRelay); },
         [this]() { mRecords.Servers().OnStoreFailure(); })
     , mRegistration(
@@ -60,16 +62,18 @@
         mOptions.mStore,
         mOptions.mSelf,
         [this](peer_hello const& aInstance) { mLinks.OnRegistered(aInstance); })
-    , mUsage(mClient, mOptions.mStore)
+    , mUsageWriter(mClient, mOptions.mStore)
     , mLinks(aContext, mOptions.mSelf, *this)
-    , mOrders(
+    , mOrderDriver(
         mClient,
         mOptions.mStore,
         mOptions.mSelf.mIdentity.mInstance,
         mOptions.mLease,
-        [this](observed_weights const& aSeen) { OnWeights({ aSeen }); },
+        [this](observed_weights const& aObserved) {
+          OnObservedWeights({ aObserved });
+        },
         [this](server_identity const& aIdentity) {
-          mRecords.OnAbsent(aIdentity);
+          mRecords.OnAddressTaken(aIdentity);
         })
     , mTimer(aContext)
   {
@@ -77,13 +81,13 @@
       mMetricsPage.emplace(aContext, mMetrics, *mOptions.mMetrics);
   }
 
-  /// Throws error when the address for peers is taken.
+  /// Throws error when the address for peers is in use.
   void Start()
   {
     mLinks.Start();
     if (mMetricsPage)
       mMetricsPage->Accept();
-    mUsage.Read([this]() { Publish(); });
+    mUsageWriter.Read([this]() { Publish(); });
     Tick();
   }
 
@@ -96,74 +100,75 @@
     ReportToPeers();
   }
 
-  /// Takes what the traffic thread saw.
+  /// Applies a report of the traffic thread.
   void OnReport(traffic_report aReport)
   {
-    for (server_identity const& gone : aReport.mGone)
-      mRecords.OnAbsent(gone);
-    OnWeights(aReport.mWeights);
+    for (server_identity const& server : aReport.mGone)
+      mRecords.OnAddressTaken(server);
+    OnObservedWeights(aReport.mWeights);
     mMetrics.Merge(aReport.mMetrics);
-    mSpent = std::move(aReport.mSpent);
-    mUsed = std::move(aReport.mUsed);
+    mOwnUsage = std::move(aReport.mSpent);
+    mWindowUsage = std::move(aReport.mUsed);
     mLinks.Add({ .mCrashes = std::move(aReport.mCrashes),
                  .mHolders = std::move(aReport.mHolders) });
     ReportToPeers();
     Publish();
   }
 
-  // For fleet_links only.
+  // Called by fleet_links.
   void ReportToPeers()
   {
     instant const now = mClock.Now();
-    std::set<backend_server_id> const turning = mOrders.Turning();
+    std::set<backend_server_id> const updating = mOrderDriver.Updating();
     instance_id const& self = mOptions.mSelf.mIdentity.mInstance;
-    mLinks.Report({ .mLease = mOrders.Lease(),
-                    .mReader = mWatch.IsReading(now) ? self : instance_id{},
-                    .mSpent = mSpent,
-                    .mUpdating = { turning.begin(), turning.end() },
-                    .mUsed = mUsed,
-                    .mOperatorsEnd = mWatch.OperatorsEnd() },
+    mLinks.Report({ .mLease = mOrderDriver.Lease(),
+                    .mReader = mFollower.IsReading(now) ? self : instance_id{},
+                    .mSpent = mOwnUsage,
+                    .mUpdating = { updating.begin(), updating.end() },
+                    .mUsed = mWindowUsage,
+                    .mOperatorsEnd = mFollower.OperatorsEnd() },
                   IsReady());
   }
 
   void OnPeersChanged() { Publish(); }
 
-  void OnPeerReport(fleet_report const& aReport, bool aHaveTurnsChanged)
+  void OnPeerReport(fleet_report const& aReport, bool aHaveUpdatesChanged)
   {
-    mWatch.OnPeerEnd(mClock.Now(), aReport.mOperatorsEnd);
+    mFollower.OnPeerEnd(mClock.Now(), aReport.mOperatorsEnd);
     if (!aReport.mCrashes.empty() || !aReport.mHolders.empty())
-      mNewsHandler(
+      mUpdateHandler(
         { .mCrashes = aReport.mCrashes, .mHolders = aReport.mHolders });
-    bool const areWeightsNews = TakeWeightsSeen(aReport.mWeights);
-    if (aHaveTurnsChanged || areWeightsNews)
+    bool const areWeightsNew = ApplyObservedWeights(aReport.mWeights);
+    if (aHaveUpdatesChanged || areWeightsNew)
       Publish();
   }
 
-  void OnPeerRelay(topic_relay const& aRelay) { mWatch.OnRelay(aRelay); }
+  void OnPeerRelay(topic_relay const& aRelay) { mFollower.OnRelay(aRelay); }
 
 private:
-  static constexpr std::chrono::milliseconds kTick{ 50 };
+  static constexpr std::chrono::milliseconds kTickInterval{ 50 };
 
   void Tick()
   {
     instant const now = mClock.Now();
     mRegistration.Tick(now);
-    mWatch.Tick(now, mLinks.Book().HasReader(now));
+    mFollower.Tick(now, mLinks.Registry().HasReader(now));
     if (IsReader(now))
-      mUsage.Write(now, mUsed);
+      mUsageWriter.Write(now, mWindowUsage);
     mLinks.Tick(now);
-    bool const areServersGone = mRecords.Servers().Expire(now);
+    bool const haveServersExpired = mRecords.Servers().Expire(now);
     std::vector<registered_server> const servers = mRecords.Servers().Servers();
-    bool const haveTurnsChanged = mOrders.Tick(servers,
-                                               mRecords.Operators().Weights(),
-                                               mLinks.Book().Rank(now),
-                                               mLinks.Book().NewestLease(now));
-    if (haveTurnsChanged)
+    bool const haveUpdatesChanged =
+      mOrderDriver.Tick(servers,
+                        mRecords.Operators().Weights(),
+                        mLinks.Registry().Rank(now),
+                        mLinks.Registry().NewestLease(now));
+    if (haveUpdatesChanged)
       ReportToPeers();
-    if (areServersGone || haveTurnsChanged)
+    if (haveServersExpired || haveUpdatesChanged)
       Publish();
-    mMetrics.Tick(now, mView, mOrders.Lease());
-    mTimer.expires_after(kTick);
+    mMetrics.Tick(now, mView, mOrderDriver.Lease());
+    mTimer.expires_after(kTickInterval);
     mTimer.async_wait([this](boost::system::error_code aFault) {
       if (!aFault)
         Tick();
@@ -173,33 +178,36 @@
   // True while this instance reads the store for the others.
   [[nodiscard]] bool IsReader(instant aNow) const
   {
-    return mWatch.IsReadingServers(aNow) && !mLinks.Book().HasReader(aNow);
+    return mFollower.IsReadingServers(aNow) &&
+           !mLinks.Registry().HasReader(aNow);
   }
 
-  void OnNews(store_topic aTopic,
-              std::span<keyed_record const> aNews,
-              page_source aSource)
+  void OnNewRecords(store_topic aTopic,
+                    std::span<keyed_record const> aNewRecords,
+                    page_source aSource)
   {
-    mRecords.Take(mClock.Now(), aTopic, aNews, aSource);
-    if (!aNews.empty())
+    mRecords.Apply(mClock.Now(), aTopic, aNewRecords, aSource);
+    if (!aNewRecords.empty())
       Publish();
   }
 
-  // True when it is news.
-  bool TakeWeightsSeen(std::vector<observed_weights> const& aSeen)
+  // True when any of them are newer than the known ones.
+  bool ApplyObservedWeights(std::vector<observed_weights> const& aObserved)
   {
-    bool isNews = false;
-    for (observed_weights const& seen : aSeen)
-      isNews |= mRecords.Servers().OnWeights(
-        seen.mServer, seen.mIncarnation, seen.mModel, seen.mVersion);
-    return isNews;
+    bool areNew = false;
+    for (observed_weights const& observed : aObserved)
+      areNew |= mRecords.Servers().OnObservedWeights(observed.mServer,
+                                                     observed.mIncarnation,
+                                                     observed.mModel,
+                                                     observed.mVersion);
+    return areNew;
   }
 
-  void OnWeights(std::vector<observed_weights> const& aSeen)
+  void OnObservedWeights(std::vector<observed_weights> const& aObserved)
   {
-    if (!TakeWeightsSeen(aSeen))
+    if (!ApplyObservedWeights(aObserved))
       return;
-    mLinks.Add({ .mWeights = aSeen });
+    mLinks.Add({ .mWeights = aObserved });
     ReportToPeers();
     Publish();
   }
@@ -212,12 +220,12 @@
   void Publish()
   {
     instant const now = mClock.Now();
-    peer_book const& peers = mLinks.Book();
+    peer_registry const& peers = mLinks.Registry();
     mView.mConfig = mRecords.Operators().Config();
     mView.mWeights = mRecords.Operators().Weights();
     mView.mServers = mRecords.Servers().Servers();
-    mView.mUpdating = mOrders.Turning();
-    mView.mUpdating.merge(peers.Turning(now));
+    mView.mUpdating = mOrderDriver.Updating();
+    mView.mUpdating.merge(peers.Updating(now));
     mView.mEntries = peers.Entries();
     if (IsReady())
       mView.mEntries.push_back(
@@ -225,32 +233,32 @@
           .mDomain = mOptions.mSelf.mFailureDomain,
           .mAddress = mOptions.mSelf.mCallers });
     mView.mInstances = peers.Known().Count() + 1;
-    mView.mUnresponsiveInstances = peers.Silent(now);
-    mView.mReportDelay = mLinks.Delay();
-    mView.mSpentElsewhere = peers.Spending().Spent();
-    mView.mUsedElsewhere = peers.Used(now);
+    mView.mUnresponsiveInstances = peers.Unresponsive(now);
+    mView.mReportDelay = mLinks.ReportDelay();
+    mView.mSpentElsewhere = peers.Usage().Total();
+    mView.mUsedElsewhere = peers.WindowUsage(now);
     if (mView.mUsedElsewhere.empty() && mView.mConfig)
-      mView.mUsedElsewhere = mUsage.Stored(*mView.mConfig);
+      mView.mUsedElsewhere = mUsageWriter.StoredUsage(*mView.mConfig);
     mPublished.Publish(std::make_shared<fleet_view const>(mView));
   }
 
   fleet_options mOptions;
   published<fleet_view>& mPublished;
-  news_handler mNewsHandler;
+  update_handler mUpdateHandler;
   system_clock mClock;
   fleet_metrics mMetrics;
   std::optional<session_listener<query_session<fleet_metrics>, fleet_metrics>>
     mMetricsPage;
   http_client mClient;
   fleet_records<Dialect> mRecords;
-  store_watch<Dialect> mWatch;
+  store_follower<Dialect> mFollower;
   instance_registration<Dialect> mRegistration;
-  usage_keeper<Dialect> mUsage;
+  usage_writer<Dialect> mUsageWriter;
   fleet_links<fleet_control> mLinks;
-  order_driver<Dialect> mOrders;
+  order_driver<Dialect> mOrderDriver;
   fleet_view mView;
-  std::vector<workspace_usage> mSpent;
-  std::vector<workspace_usage> mUsed;
+  std::vector<workspace_usage> mOwnUsage;
+  std::vector<workspace_usage> mWindowUsage;
   boost::asio::steady_timer mTimer;
   bool mIsLeaving = false;
 };
--- a/Libraries/LibFleet/FleetDialect.h
+++ b/Libraries/LibFleet/FleetDialect.h
@@ -22,8 +22,9 @@
 
 namespace lycheeseam {
 
-/// The names and formats of the platform's store and of what lies in it. All
-/// functions are static; those that read throw invalid_input.
+/// The names and formats of the platform's store and of its records, and those
+/// of orders to engines. All functions are static; those that read throw
+/// invalid_input.
 template<typename Dialect>
 concept fleet_dialect = requires(store_topic aTopic,
                                  std::string_view aText,
@@ -36,7 +37,7 @@
                                  quota_usage const& aUsage,
                                  http_exchange_result const& aResult)
 {
-  // The newest record of each key behind a key.
+  // The newest record of each key that sorts after a given key.
   {
     Dialect::NewestRequest(aTopic, aText)
     } -> std::same_as<request_head>;
@@ -56,7 +57,7 @@
   {
     Dialect::ReadServer(aText, aText)
     } -> std::same_as<registered_server>;
-  // Appends a record; with an offset, only where the topic ends there.
+  // Appends a record; with an offset, only if the topic ends there.
   {
     Dialect::AppendRequest(aTopic, aAt)
     } -> std::same_as<request_head>;
@@ -73,14 +74,14 @@
   {
     Dialect::ReadInstance(aText, aText)
     } -> std::same_as<peer_hello>;
-  // What was admitted lately.
+  // The usage of the last quota window.
   {
     Dialect::FormatUsage(aUsage)
     } -> std::same_as<std::string>;
   {
     Dialect::ReadUsage(aText)
     } -> std::same_as<quota_usage>;
-  // Orders to engines, and their state.
+  // Orders to engines, and the engines' reports of their state.
   {
     Dialect::OrderRequest(aOrder)
     } -> std::same_as<request_head>;
--- a/Libraries/LibFleet/FleetLinks.h
+++ b/Libraries/LibFleet/FleetLinks.h
@@ -17,11 +17,12 @@
 
 namespace lycheeseam {
 
-/// The links of one instance to its peers: what they told, and who is told
-/// what. Runs on the control thread.
+/// Connects an instance with its peers: sends and receives reports, rosters and
+/// relayed records over their links. Runs on the control thread.
 ///
-/// Control has ReportToPeers(), called when a link is new, OnPeersChanged(),
-/// OnPeerReport(fleet_report const&, bool) with whether other servers turn,
+/// Control provides ReportToPeers(), called when a link has opened;
+/// OnPeersChanged(); OnPeerReport(fleet_report const&, bool), whose flag says
+/// whether the peer's lease or the servers that it is updating have changed;
 /// and OnPeerRelay(topic_relay const&).
 template<typename Control>
 class fleet_links
@@ -32,10 +33,10 @@
               Control& aControl)
     : mSelf(std::move(aSelf))
     , mControl(aControl)
-    , mBook(mSelf.mIdentity.mInstance)
+    , mRegistry(mSelf.mIdentity.mInstance)
     , mExchange(
         mSelf,
-        mBook,
+        mRegistry,
         [this](std::span<instance_id const> aPeers, fleet_message aMessage) {
           mHub.Multicast(aPeers, std::move(aMessage));
         },
@@ -56,7 +57,7 @@
   {
   }
 
-  /// Throws error when the address for peers is taken.
+  /// Throws error when the address for peers is in use.
   void Start()
   {
     mHub.Listen(mSelf.mPeers);
@@ -68,47 +69,51 @@
 
   void Tick(instant aNow)
   {
-    mBook.Prune(aNow);
+    mRegistry.Prune(aNow);
     mExchange.Tick(aNow);
   }
 
   /// An instance is registered in the store.
   void OnRegistered(peer_hello const& aInstance)
   {
-    mBook.OnRegistered(mClock.Now(), aInstance);
-    mExchange.OnInstances();
+    mRegistry.OnRegistered(mClock.Now(), aInstance);
+    mExchange.OnInstancesChanged();
   }
 
-  /// Keeps news for the next report.
-  void Add(report_news aNews) { mExchange.Add(std::move(aNews)); }
+  /// Stores an update for the next report.
+  void Add(report_update aUpdate) { mExchange.Add(std::move(aUpdate)); }
 
-  /// Tells all peers; aOwn tells of this instance alone.
+  /// Reports to all peers; aOwn holds the state of this instance alone.
   void Report(fleet_report const& aOwn, bool aIsReady)
   {
     mExchange.Report(mClock.Now(), aOwn, aIsReady, mIsLeaving);
   }
 
-  /// Passes on records of the store that were read here.
+  /// Passes on records of the store that this instance read.
   void Relay(topic_relay const& aRelay)
   {
     mExchange.Relay(mClock.Now(), aRelay, std::nullopt);
   }
 
-  /// What the peers told.
-  [[nodiscard]] peer_book const& Book() const noexcept { return mBook; }
+  /// What is known of the other instances.
+  [[nodiscard]] peer_registry const& Registry() const noexcept
+  {
+    return mRegistry;
+  }
 
-  /// How old what they told may be; 0 when it is too young to matter.
-  [[nodiscard]] std::chrono::milliseconds Delay() const
+  /// How old reports of other instances may be on arrival; 0 when the delay is
+  /// negligible.
+  [[nodiscard]] std::chrono::milliseconds ReportDelay() const
   {
-    return mExchange.Delay();
+    return mExchange.ReportDelay();
   }
 
-  // For peer_hub only.
+  // Called by peer_hub.
   void OnPeerUp(peer_hello const& aHello)
   {
     LogEvent("peer_up", { { "peer", aHello.mIdentity.mInstance.Text() } });
-    mBook.OnUp(mClock.Now(), aHello);
-    mExchange.OnInstances();
+    mRegistry.OnUp(mClock.Now(), aHello);
+    mExchange.OnInstancesChanged();
     mControl.ReportToPeers();
   }
 
@@ -117,8 +122,8 @@
     LogEvent("peer_down",
              { { "peer", aPeer.mInstance.Text() },
                { "reason", static_cast<std::int64_t>(aReason) } });
-    mBook.OnDown(mClock.Now(), aPeer);
-    mExchange.OnInstances();
+    mRegistry.OnDown(mClock.Now(), aPeer);
+    mExchange.OnInstancesChanged();
     mControl.OnPeersChanged();
   }
 
@@ -139,15 +144,15 @@
 private:
   static peer_hub_options HubOptions()
   {
-    constexpr std::size_t kMostQueued = 4U << 20U;
-    // A peer that was restarted is back within a second or two.
-    return { .mMaxFrameBytes = kMostQueued,
-             .mMaxQueueBytes = kMostQueued,
+    constexpr std::size_t kMaxQueuedBytes = 4U << 20U;
+    // A restarted peer is reachable again within a second or two.
+    return { .mMaxFrameBytes = kMaxQueuedBytes,
+             .mMaxQueueBytes = kMaxQueuedBytes,
              .mHelloTimeout = std::chrono::milliseconds{ 700 },
              .mDial = { .mMaxBackoff = std::chrono::milliseconds{ 800 } } };
   }
 
-  // Reports are the signs of life; a link without any is pinged.
+  // Reports serve as heartbeats; a link without any is pinged.
   static quiet_link_options LinkOptions()
   {
     return { .mBeatInterval = {},
@@ -158,29 +163,30 @@
 
   void OnReport(instance_identity const& aPeer, fleet_report const& aReport)
   {
-    if (!mExchange.IsTaken(aPeer.mInstance, aReport.mScope))
+    if (!mExchange.IsAccepted(aPeer.mInstance, aReport.mScope))
       return;
-    bool const haveTurnsChanged = mBook.OnReport(mClock.Now(), aPeer, aReport);
+    bool const haveUpdatesChanged =
+      mRegistry.OnReport(mClock.Now(), aPeer, aReport);
     mExchange.Add({ .mFrom = aPeer.mInstance,
                     .mIsOfBranch = aReport.mScope == report_scope::Branch,
                     .mCrashes = aReport.mCrashes,
                     .mWeights = aReport.mWeights,
                     .mHolders = aReport.mHolders });
-    mControl.OnPeerReport(aReport, haveTurnsChanged);
+    mControl.OnPeerReport(aReport, haveUpdatesChanged);
   }
 
   void OnRoster(instance_identity const& aPeer, fleet_roster const& aRoster)
   {
-    if (!mBook.OnRoster(mClock.Now(), aPeer, aRoster))
+    if (!mRegistry.OnRoster(mClock.Now(), aPeer, aRoster))
       return;
-    mExchange.OnInstances();
+    mExchange.OnInstancesChanged();
     mControl.OnPeersChanged();
   }
 
   peer_hello mSelf;
   Control& mControl;
   system_clock mClock;
-  peer_book mBook;
+  peer_registry mRegistry;
   report_exchange mExchange;
   peer_hub<fleet_links, quiet_link_supervisor, system_clock> mHub;
   bool mIsLeaving = false;
--- a/Libraries/LibFleet/FleetMetrics.cpp
+++ b/Libraries/LibFleet/FleetMetrics.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr std::chrono::seconds kRateTick{ 1 };
+constexpr std::chrono::seconds kRateInterval{ 1 };
 
 }
 
@@ -18,7 +18,7 @@
 {
   if (aNow < mNextTick)
     return;
-  mNextTick = aNow + kRateTick;
+  mNextTick = aNow + kRateInterval;
   SetGauges(aNow, aView, aLease);
   CountEvents();
   mStore.Merge(mRecorder.TakeDelta());
@@ -50,9 +50,9 @@
 }
 
 own_answer
-fleet_metrics::Answer(request_head const& aQuestion)
+fleet_metrics::Answer(request_head const& aQuery)
 {
-  if (aQuestion.mMethod != "GET" || aQuestion.mTarget != "/metrics")
+  if (aQuery.mMethod != "GET" || aQuery.mTarget != "/metrics")
     return { .mHead = { .mStatus = kHttpNotFound, .mReason = "Not Found" } };
   CountEvents();
   mStore.Merge(mRecorder.TakeDelta());
--- a/Libraries/LibFleet/FleetMetrics.h
+++ b/Libraries/LibFleet/FleetMetrics.h
@@ -15,18 +15,20 @@
 class fleet_metrics
 {
 public:
-  /// Where the control thread records.
+  /// The recorder of the control thread.
   [[nodiscard]] metrics_recorder& Recorder() noexcept { return mRecorder; }
 
   /// Adds what the traffic thread recorded.
   void Merge(metrics_delta const& aDelta) { mStore.Merge(aDelta); }
 
-  /// Called often. Once a second it takes over what was recorded and what
-  /// this instance believes; aLease is its lease on orders, 0 for none.
+  /// To be called more than once a second. Once a second it sets the gauges
+  /// from aView and merges what was recorded. aLease is the offset of this
+  /// instance's lease on orders, 0 for none.
   void Tick(instant aNow, fleet_view const& aView, std::uint64_t aLease);
 
-  /// The answer to a question at the metrics address.
-  own_answer Answer(request_head const& aQuestion);
+  /// Answers a request at the metrics address: GET /metrics with the metrics,
+  /// all else with status 404.
+  own_answer Answer(request_head const& aQuery);
 
 private:
   void CountEvents();
--- a/Libraries/LibFleet/FleetOptions.h
+++ b/Libraries/LibFleet/FleetOptions.h
@@ -8,15 +8,15 @@
 
 namespace lycheeseam {
 
-/// What the control thread of an instance is told at its start.
+/// The options of an instance's control thread.
 struct fleet_options
 {
-  /// Who this instance is to its peers.
+  /// The hello that this instance sends to its peers.
   peer_hello mSelf;
   endpoint mStore;
-  /// Where metrics are served; nowhere without it.
+  /// Where metrics are served; without it they aren't served.
   std::optional<endpoint> mMetrics;
-  /// For how long the holder of orders counts after it took its lease.
+  /// The term of the lease on orders, from when the lease is sent.
   duration mLease{};
 };
 
--- a/Libraries/LibFleet/FleetRecords.h
+++ b/Libraries/LibFleet/FleetRecords.h
@@ -13,51 +13,52 @@
 
 namespace lycheeseam {
 
-/// What operators and backend servers wrote, as their records say it. Each
-/// change of what is believed is logged.
+/// The state that the records of operators and backend servers describe. Logs
+/// each change of it.
 template<fleet_dialect Dialect>
 class fleet_records
 {
 public:
-  /// Takes records of a topic that are news.
-  void Take(instant aNow,
-            store_topic aTopic,
-            std::span<keyed_record const> aNews,
-            page_source aSource)
+  /// Applies new records of a topic.
+  void Apply(instant aNow,
+             store_topic aTopic,
+             std::span<keyed_record const> aNewRecords,
+             page_source aSource)
   {
     if (aTopic == store_topic::Servers)
-      return TakeServers(aNow, aNews, aSource);
-    for (keyed_record const& record : aNews) {
+      return ApplyServers(aNow, aNewRecords, aSource);
+    for (keyed_record const& record : aNewRecords) {
       if (record.mValue)
-        TakeOperatorRecord(aNow, record);
+        ApplyOperatorRecord(aNow, record);
     }
   }
 
-  /// Another server answered at a server's address.
-  void OnAbsent(server_identity const& aGone)
+  /// Another server answered at the address of aServer.
+  void OnAddressTaken(server_identity const& aServer)
   {
-    if (mServers.OnAbsent(aGone))
+    if (mServers.OnAddressTaken(aServer))
       LogEvent("server_absent",
-               { { "server", aGone.mServer.Text() },
-                 { "reason", std::string{ "another has its address" } } });
+               { { "server", aServer.mServer.Text() },
+                 { "reason",
+                   std::string{ "another server answers at its address" } } });
   }
 
-  [[nodiscard]] server_register& Servers() noexcept { return mServers; }
+  [[nodiscard]] server_registry& Servers() noexcept { return mServers; }
   [[nodiscard]] operator_state const& Operators() const noexcept
   {
     return mOperators;
   }
 
 private:
-  void TakeServers(instant aNow,
-                   std::span<keyed_record const> aNews,
-                   page_source aSource)
+  void ApplyServers(instant aNow,
+                    std::span<keyed_record const> aNewRecords,
+                    page_source aSource)
   {
-    // Also by a peer's word: what the store says counts, whoever reads it.
+    // A page that a peer read also shows that the store answers.
     mServers.OnStoreAnswer(aNow);
-    for (keyed_record const& record : aNews) {
+    for (keyed_record const& record : aNewRecords) {
       if (record.mValue) {
-        TakeServer(record, aSource);
+        ApplyServer(record, aSource);
         continue;
       }
       mServers.OnDropped(aNow, backend_server_id{ record.mKey });
@@ -65,7 +66,7 @@
     }
   }
 
-  void TakeServer(keyed_record const& aRecord, page_source aSource)
+  void ApplyServer(keyed_record const& aRecord, page_source aSource)
   {
     try {
       registered_server const server =
@@ -75,7 +76,8 @@
                   server.mStage == server_stage::Ready ? "ready" : "leaving",
                   aSource);
     } catch (invalid_input const& fault) {
-      // Another writer's entry names no server to use.
+      // Other programs may write to the topic; an entry that can't be read
+      // names no usable server.
       LogEvent("entry_ignored",
                { { "server", aRecord.mKey },
                  { "fault", std::string{ fault.what() } } });
@@ -94,7 +96,7 @@
                { "told_by", std::string{ isPeer ? "peer" : "store" } } });
   }
 
-  void TakeOperatorRecord(instant aNow, keyed_record const& aRecord)
+  void ApplyOperatorRecord(instant aNow, keyed_record const& aRecord)
   {
     operator_record read;
     try {
@@ -105,29 +107,32 @@
         { { "key", aRecord.mKey }, { "fault", std::string{ fault.what() } } });
       return;
     }
-    std::visit([this, aNow](auto const& aAny) { TakeWord(aNow, aAny); }, read);
+    std::visit(
+      [this, aNow](auto const& aContent) { ApplyContent(aNow, aContent); },
+      read);
   }
 
-  // A key that this version doesn't know.
-  void TakeWord(instant, std::monostate) {}
+  // Records under keys that this version doesn't know are ignored.
+  void ApplyContent(instant, std::monostate) {}
 
-  void TakeWord(instant, std::shared_ptr<dispatch_config const> const& aConfig)
+  void ApplyContent(instant,
+                    std::shared_ptr<dispatch_config const> const& aConfig)
   {
-    if (mOperators.Take(aConfig))
+    if (mOperators.Apply(aConfig))
       LogEvent(
         "config_in_force",
         { { "version", static_cast<std::int64_t>(aConfig->Version()) } });
   }
 
-  void TakeWord(instant aNow, loaded_model const& aNamed)
+  void ApplyContent(instant aNow, loaded_model const& aTarget)
   {
-    if (mOperators.Take(aNow, aNamed))
+    if (mOperators.Apply(aNow, aTarget))
       LogEvent("weights_named",
-               { { "model", aNamed.mModel.Text() },
-                 { "version", static_cast<std::int64_t>(aNamed.mVersion) } });
+               { { "model", aTarget.mModel.Text() },
+                 { "version", static_cast<std::int64_t>(aTarget.mVersion) } });
   }
 
-  server_register mServers;
+  server_registry mServers;
   operator_state mOperators;
 };
 
--- a/Libraries/LibFleet/InstanceRegistration.h
+++ b/Libraries/LibFleet/InstanceRegistration.h
@@ -10,12 +10,12 @@
 
 namespace lycheeseam {
 
-/// Registers this instance in the store and finds the others there.
+/// Registers this instance in the store and finds the other instances there.
 template<fleet_dialect Dialect>
 class instance_registration
 {
 public:
-  /// Hears of each instance that is registered.
+  /// Receives each registered instance that a read returns.
   using instance_handler = std::function<void(peer_hello const&)>;
 
   instance_registration(http_client& aClient,
@@ -33,24 +33,25 @@
   {
   }
 
-  /// Registers, or reads who is registered, when it is due.
+  /// Registers this instance, or reads which instances are registered, when
+  /// that is due.
   void Tick(instant aNow)
   {
-    if (mRegisterDue && aNow >= *mRegisterDue) {
-      mRegisterDue.reset();
+    if (mRegisterAt && aNow >= *mRegisterAt) {
+      mRegisterAt.reset();
       Register();
     }
-    if (aNow < mReadDue || mReader.IsReading())
+    if (aNow < mReadAt || mReader.IsReading())
       return;
-    mReadDue = aNow + kReadInterval;
+    mReadAt = aNow + kReadInterval;
     mReader.Read([](store_read_status) {});
   }
 
 private:
-  // Instances register once; the topic is read again only to find those that
-  // couldn't be reached at first.
+  // Instances register once, so the topic is read again only to find instances
+  // that couldn't be reached at first.
   static constexpr std::chrono::seconds kReadInterval{ 20 };
-  static constexpr std::chrono::milliseconds kRegisterPause{ 700 };
+  static constexpr std::chrono::milliseconds kRegisterRetryDelay{ 700 };
 
   void Register()
   {
@@ -61,9 +62,9 @@
       std::nullopt,
       record,
       [this](store_append_result aResult, http_exchange_result const&) {
-        mReadDue = mClock.Now();
+        mReadAt = mClock.Now();
         if (aResult.mStatus != store_append_status::Done)
-          mRegisterDue = mClock.Now() + kRegisterPause;
+          mRegisterAt = mClock.Now() + kRegisterRetryDelay;
       });
   }
 
@@ -87,8 +88,8 @@
   instance_handler mHandler;
   topic_reader<Dialect> mReader;
   system_clock mClock;
-  std::optional<instant> mRegisterDue{ instant{} };
-  instant mReadDue{ instant::max() };
+  std::optional<instant> mRegisterAt{ instant{} };
+  instant mReadAt{ instant::max() };
 };
 
 }
--- a/Libraries/LibFleet/KnownInstances.cpp
+++ b/Libraries/LibFleet/KnownInstances.cpp
@@ -7,13 +7,13 @@
 
 namespace {
 
-// An instance that is away longer has been removed or is being replaced; until
-// then its share of limits is kept for it.
-constexpr duration kMemory = std::chrono::seconds{ 30 };
+// An instance that is unreachable for longer has been removed or is being
+// replaced; until then its share of the limits stays reserved for it.
+constexpr duration kRetention = std::chrono::seconds{ 30 };
 
-// One that others still hear of is only cut off from here, and may be reached
-// again.
-constexpr duration kAwayInRosters = std::chrono::seconds{ 10 };
+// An instance that others still report is only unreachable from here; after
+// this time it counts as reachable again, so that it is tried again.
+constexpr duration kReportedRetryDelay = std::chrono::seconds{ 10 };
 
 }
 
@@ -21,77 +21,78 @@
 known_instances::OnRegistered(instant aNow, peer_hello const& aHello)
 {
   auto const known = mKnown.find(aHello.mIdentity.mInstance);
-  bool const isNews =
+  bool const isNewer =
     known == mKnown.end() ||
     known->second.mHello.mIdentity.mIncarnation < aHello.mIdentity.mIncarnation;
-  if (isNews)
-    OnHeard(aNow, aHello);
+  if (isNewer)
+    OnObserved(aNow, aHello);
 }
 
 void
-known_instances::OnHeard(instant aNow, peer_hello const& aHello)
+known_instances::OnObserved(instant aNow, peer_hello const& aHello)
 {
   if (aHello.mIdentity.mInstance != mSelf)
-    mKnown[aHello.mIdentity.mInstance] = { .mHello = aHello, .mSeenAt = aNow };
+    mKnown[aHello.mIdentity.mInstance] = { .mHello = aHello,
+                                           .mObservedAt = aNow };
 }
 
 void
-known_instances::OnStillHeard(instant aNow, instance_id const& aInstance)
+known_instances::OnStillReported(instant aNow, instance_id const& aInstance)
 {
   auto const known = mKnown.find(aInstance);
   if (known == mKnown.end())
     return;
-  std::optional<instant>& away = known->second.mAwaySince;
-  known->second.mSeenAt = aNow;
-  if (away && aNow - *away > kAwayInRosters)
-    away.reset();
+  std::optional<instant>& unreachable = known->second.mUnreachableSince;
+  known->second.mObservedAt = aNow;
+  if (unreachable && aNow - *unreachable > kReportedRetryDelay)
+    unreachable.reset();
 }
 
 void
-known_instances::OnAway(instant aNow, instance_id const& aInstance)
+known_instances::OnUnreachable(instant aNow, instance_id const& aInstance)
 {
   auto const known = mKnown.find(aInstance);
   if (known != mKnown.end())
-    known->second.mAwaySince = aNow;
+    known->second.mUnreachableSince = aNow;
 }
 
 void
 known_instances::Prune(instant aNow)
 {
   std::erase_if(mKnown, [aNow](auto const& aEntry) {
-    return aNow - aEntry.second.mSeenAt > kMemory;
+    return aNow - aEntry.second.mObservedAt > kRetention;
   });
 }
 
 std::vector<peer_hello>
-known_instances::Present() const
+known_instances::Reachable() const
 {
-  std::vector<peer_hello> present;
+  std::vector<peer_hello> reachable;
   for (auto const& [id, known] : mKnown) {
-    if (!known.mAwaySince)
-      present.push_back(known.mHello);
+    if (!known.mUnreachableSince)
+      reachable.push_back(known.mHello);
   }
-  return present;
+  return reachable;
 }
 
 std::size_t
-known_instances::CountPresent() const
+known_instances::CountReachable() const
 {
   return static_cast<std::size_t>(
     std::count_if(mKnown.begin(), mKnown.end(), [](auto const& aEntry) {
-      return !aEntry.second.mAwaySince;
+      return !aEntry.second.mUnreachableSince;
     }));
 }
 
 std::vector<peer_hello>
-known_instances::Away() const
+known_instances::Unreachable() const
 {
-  std::vector<peer_hello> away;
+  std::vector<peer_hello> unreachable;
   for (auto const& [id, known] : mKnown) {
-    if (known.mAwaySince)
-      away.push_back(known.mHello);
+    if (known.mUnreachableSince)
+      unreachable.push_back(known.mHello);
   }
-  return away;
+  return unreachable;
 }
 
 std::uint32_t
@@ -101,11 +102,11 @@
 }
 
 std::uint32_t
-known_instances::CountBesides(std::set<instance_id> const& aSome) const
+known_instances::CountExcluding(std::set<instance_id> const& aExcluded) const
 {
-  return static_cast<std::uint32_t>(
-    std::count_if(mKnown.begin(), mKnown.end(), [&aSome](auto const& aEntry) {
-      return !aSome.contains(aEntry.first);
+  return static_cast<std::uint32_t>(std::count_if(
+    mKnown.begin(), mKnown.end(), [&aExcluded](auto const& aEntry) {
+      return !aExcluded.contains(aEntry.first);
     }));
 }
 
--- a/Libraries/LibFleet/KnownInstances.h
+++ b/Libraries/LibFleet/KnownInstances.h
@@ -13,8 +13,8 @@
 
 namespace lycheeseam {
 
-/// The other instances that share limits with this one, until nothing was
-/// heard of them for long.
+/// The other instances that share limits with this one. An instance that hasn't
+/// been observed for the retention time is removed.
 class known_instances
 {
 public:
@@ -26,41 +26,41 @@
   /// An instance is registered in the store.
   void OnRegistered(instant aNow, peer_hello const& aHello);
 
-  /// An instance has a link, or one with a link speaks for it: it isn't away.
-  void OnHeard(instant aNow, peer_hello const& aHello);
+  /// An instance has a link, or a linked peer reports it: it is reachable.
+  void OnObserved(instant aNow, peer_hello const& aHello);
 
-  /// A peer speaks for it still. One that others hear of and that can't be
-  /// reached from here may be so again after a while.
-  void OnStillHeard(instant aNow, instance_id const& aInstance);
+  /// A linked peer still reports the instance. One that is unreachable from
+  /// here counts as reachable again after a while.
+  void OnStillReported(instant aNow, instance_id const& aInstance);
 
-  /// It can't be reached, or nobody speaks for it any more.
-  void OnAway(instant aNow, instance_id const& aInstance);
+  /// The instance can't be reached, or no linked peer reports it any more.
+  void OnUnreachable(instant aNow, instance_id const& aInstance);
 
-  /// Forgets those that nothing was heard of for long.
+  /// Removes instances that haven't been observed for the retention time.
   void Prune(instant aNow);
 
-  /// Those that may live.
-  [[nodiscard]] std::vector<peer_hello> Present() const;
+  /// The instances that aren't known to be unreachable.
+  [[nodiscard]] std::vector<peer_hello> Reachable() const;
 
-  /// How many those are.
-  [[nodiscard]] std::size_t CountPresent() const;
+  /// The number of reachable instances.
+  [[nodiscard]] std::size_t CountReachable() const;
 
-  /// Those that are away.
-  [[nodiscard]] std::vector<peer_hello> Away() const;
+  /// The instances that are unreachable but not removed yet.
+  [[nodiscard]] std::vector<peer_hello> Unreachable() const;
 
   [[nodiscard]] std::uint32_t Count() const;
 
-  /// How many aren't among some.
-  [[nodiscard]] std::uint32_t CountBesides(
-    std::set<instance_id> const& aSome) const;
+  /// The number of known instances that aren't in aExcluded.
+  [[nodiscard]] std::uint32_t CountExcluding(
+    std::set<instance_id> const& aExcluded) const;
 
 private:
   struct known_instance
   {
     peer_hello mHello;
-    instant mSeenAt{};
-    /// Since when it can't be reached; nothing while it can.
-    std::optional<instant> mAwaySince;
+    instant mObservedAt{};
+    /// Since when the instance is unreachable; empty while it is reachable.
+    std::optional<instant> mUnreachableSince;
   };
 
   instance_id mSelf;
--- a/Libraries/LibFleet/LeaseRecord.h
+++ b/Libraries/LibFleet/LeaseRecord.h
@@ -6,7 +6,8 @@
 
 namespace lycheeseam {
 
-/// A lease as it lies in the store.
+/// A lease on orders as the store holds it: the offset of its record, and the
+/// instance that the record names.
 struct lease_record
 {
   std::uint64_t mOffset = 0;
--- a/Libraries/LibFleet/OperatorRecord.h
+++ b/Libraries/LibFleet/OperatorRecord.h
@@ -9,7 +9,8 @@
 
 namespace lycheeseam {
 
-/// What one record of an operator says; nothing for records of other kinds.
+/// The content of one record of an operator: a configuration, or the target
+/// weights of a model; empty for other kinds of records.
 using operator_record = std::
   variant<std::monostate, std::shared_ptr<dispatch_config const>, loaded_model>;
 
--- a/Libraries/LibFleet/OperatorState.cpp
+++ b/Libraries/LibFleet/OperatorState.cpp
@@ -6,14 +6,14 @@
 
 namespace {
 
-// Servers are brought to the newest version within some seconds, so versions
-// older than these have no server left.
+// A rolling update takes some seconds, so no server still has versions older
+// than these.
 constexpr std::size_t kKeptVersions = 16;
 
 }
 
 bool
-operator_state::Take(std::shared_ptr<dispatch_config const> const& aConfig)
+operator_state::Apply(std::shared_ptr<dispatch_config const> const& aConfig)
 {
   if (mConfig && mConfig->Version() >= aConfig->Version())
     return false;
@@ -22,20 +22,20 @@
 }
 
 bool
-operator_state::Take(instant aNow, loaded_model const& aNamed)
+operator_state::Apply(instant aNow, loaded_model const& aTarget)
 {
-  auto const isModel = [&aNamed](target_weights const& aKnown) {
-    return aKnown.mModel == aNamed.mModel;
+  auto const isModel = [&aTarget](target_weights const& aKnown) {
+    return aKnown.mModel == aTarget.mModel;
   };
   auto const found = std::find_if(mWeights.begin(), mWeights.end(), isModel);
   target_weights& known =
     found != mWeights.end()
       ? *found
-      : mWeights.emplace_back(target_weights{ .mModel = aNamed.mModel });
-  if (aNamed.mVersion <= known.Newest())
+      : mWeights.emplace_back(target_weights{ .mModel = aTarget.mModel });
+  if (aTarget.mVersion <= known.Newest())
     return false;
   known.mVersions.push_back(
-    { .mVersion = aNamed.mVersion, .mLearnedAt = aNow });
+    { .mVersion = aTarget.mVersion, .mLearnedAt = aNow });
   if (known.mVersions.size() > kKeptVersions)
     known.mVersions.erase(known.mVersions.begin());
   return true;
--- a/Libraries/LibFleet/OperatorState.h
+++ b/Libraries/LibFleet/OperatorState.h
@@ -9,18 +9,19 @@
 
 namespace lycheeseam {
 
-/// What operators wrote: the configuration in force and the weights named.
+/// The configuration in force and the target weights, as operators wrote them.
 /// Neither ever goes back to an older version.
 class operator_state
 {
 public:
-  /// Takes a configuration; true when it is newer than the one in force.
-  bool Take(std::shared_ptr<dispatch_config const> const& aConfig);
+  /// Applies a configuration; true when it is newer than the one in force.
+  bool Apply(std::shared_ptr<dispatch_config const> const& aConfig);
 
-  /// Takes named weights; true when they are newer than all for the model.
-  bool Take(instant aNow, loaded_model const& aNamed);
+  /// Applies target weights; true when they are newer than all known ones of
+  /// the model.
+  bool Apply(instant aNow, loaded_model const& aTarget);
 
-  /// Null until a configuration was read.
+  /// Null until a configuration has been read.
   [[nodiscard]] std::shared_ptr<dispatch_config const> const& Config()
     const noexcept
   {
--- a/Libraries/LibFleet/OrderAnswer.h
+++ b/Libraries/LibFleet/OrderAnswer.h
@@ -2,10 +2,10 @@
 
 namespace lycheeseam {
 
-/// What an engine answered to an order.
+/// An engine's answer to an order.
 enum class order_answer
 {
-  /// It carries the order out, or has done so before.
+  /// The engine carries the order out, or has done so before.
   Accepted,
   /// Another order is being carried out, or was accepted meanwhile.
   Busy,
@@ -13,9 +13,9 @@
   Fenced,
   /// The order can't be carried out.
   Refused,
-  /// Another server has the address.
+  /// Another server answered at the address.
   Misdirected,
-  /// No answer: it may be carried out later.
+  /// No answer: the order may still be carried out.
   Unknown,
 };
 
--- a/Libraries/LibFleet/OrderDriver.h
+++ b/Libraries/LibFleet/OrderDriver.h
@@ -20,90 +20,94 @@
 
 namespace lycheeseam {
 
-/// Takes and keeps the lease on orders while this instance is the one to hold
-/// it, and gives the orders that bring engines to new weights.
+/// Acquires and renews the lease on orders when this instance is to hold it,
+/// and sends the orders that update engines to the target weights while it
+/// does. Runs on the control thread.
 template<fleet_dialect Dialect>
 class order_driver
 {
 public:
   using weights_handler = std::function<void(observed_weights)>;
-  using gone_handler = std::function<void(server_identity)>;
+  using address_taken_handler = std::function<void(server_identity)>;
 
   order_driver(http_client& aClient,
                endpoint aStore,
                instance_id aSelf,
                duration aTerm,
                weights_handler aHandler,
-               gone_handler aGoneHandler)
+               address_taken_handler aAddressTakenHandler)
     : mClient(aClient)
     , mCalls(aClient, std::move(aStore))
     , mSelf(aSelf)
     , mLease(std::move(aSelf), aTerm)
     , mPlan({})
     , mHandler(std::move(aHandler))
-    , mGoneHandler(std::move(aGoneHandler))
+    , mAddressTakenHandler(std::move(aAddressTakenHandler))
   {
   }
 
-  /// Does what is due. aRank is this instance's place among those that could
-  /// hold the lease, 0 for the first; aPeerLease the newest lease of a live
-  /// peer. True when the set of turning servers changed.
+  /// Does what is due. aRank is this instance's rank among those that could
+  /// hold the lease, 0 for the first; aPeerLease is the newest lease of a live
+  /// peer, 0 for none. Returns true when the set of servers being updated has
+  /// changed.
   bool Tick(std::span<registered_server const> aServers,
             std::span<target_weights const> aWeights,
             std::uint32_t aRank,
             std::uint64_t aPeerLease)
   {
     instant const now = mClock.Now();
-    bool const hadTurns = !mPlan.IsIdle();
+    bool const hadUpdates = !mPlan.IsIdle();
     if (mVacantSince == instant{})
-      mVacantSince = now + kStartPause;
-    if (aPeerLease > mLease.Held()) {
+      mVacantSince = now + kStartDelay;
+    if (aPeerLease > mLease.HeldOffset()) {
       mLease.OnPeerLease(now, aPeerLease);
       mPlan.Clear();
       mVacantSince = now;
-      return hadTurns;
+      return hadUpdates;
     }
     if (!mLease.IsHeld()) {
       mPlan.Clear();
-      if (now - mVacantSince > kVacancy + aRank * kRankDelay)
+      if (now - mVacantSince > kVacancyDelay + aRank * kRankDelay)
         Acquire();
-      return hadTurns;
+      return hadUpdates;
     }
-    std::set<backend_server_id> const before = mPlan.Turning();
+    std::set<backend_server_id> const before = mPlan.Updating();
     mPlan.Update(now, aServers, aWeights);
     if (!mPlan.IsIdle())
-      Drive(now, aServers);
-    return mPlan.Turning() != before;
+      SendDue(now, aServers);
+    return mPlan.Updating() != before;
   }
 
-  [[nodiscard]] std::set<backend_server_id> Turning() const
+  [[nodiscard]] std::set<backend_server_id> Updating() const
   {
-    return mPlan.Turning();
+    return mPlan.Updating();
   }
 
-  [[nodiscard]] std::uint64_t Lease() const { return mLease.Held(); }
+  [[nodiscard]] std::uint64_t Lease() const { return mLease.HeldOffset(); }
 
 private:
-  // The last holder's link is known to be down by then.
-  static constexpr std::chrono::milliseconds kVacancy{ 600 };
+  // By then the link of a failed holder is known to be down.
+  static constexpr std::chrono::milliseconds kVacancyDelay{ 600 };
+  // Each instance waits this much longer than the one ranked before it.
   static constexpr std::chrono::milliseconds kRankDelay{ 400 };
-  // A starting instance first hears who holds the lease.
-  static constexpr std::chrono::milliseconds kStartPause{ 900 };
+  // A starting instance learns from its peers within this time who holds the
+  // lease.
+  static constexpr std::chrono::milliseconds kStartDelay{ 900 };
   static constexpr std::chrono::milliseconds kEngineTimeout{ 800 };
 
-  void Drive(instant aNow, std::span<registered_server const> aServers)
+  void SendDue(instant aNow, std::span<registered_server const> aServers)
   {
     if (mLease.IsRenewalDue(aNow))
       Acquire();
     for (backend_server_id const& id : mPlan.DueOrders(aNow)) {
-      std::optional<std::uint64_t> const fence = mLease.MayOrder(aNow);
+      std::optional<std::uint64_t> const fence = mLease.FencingNumber(aNow);
       registered_server const* const server = FindServer(aServers, id);
       if (fence && server != nullptr)
-        Order(aNow, *server, *fence);
+        SendOrder(aNow, *server, *fence);
     }
-    for (backend_server_id const& id : mPlan.DueQuestions(aNow)) {
+    for (backend_server_id const& id : mPlan.DueStateRequests(aNow)) {
       if (registered_server const* const server = FindServer(aServers, id))
-        Ask(aNow, *server);
+        RequestState(aNow, *server);
     }
   }
 
@@ -111,7 +115,7 @@
   {
     if (std::exchange(mIsStoreBusy, true))
       return;
-    if (mLease.AppendAt())
+    if (mLease.AppendOffset())
       return Append();
     mCalls.ReadNewest(store_topic::Leases,
                       [this](std::optional<topic_page> const& aPage) {
@@ -138,7 +142,7 @@
     mLease.OnSend(mClock.Now());
     mCalls.Append(
       store_topic::Leases,
-      mLease.AppendAt(),
+      mLease.AppendOffset(),
       { .mKey = "orders", .mValue = mSelf.Text() },
       [this](store_append_result aResult, http_exchange_result const& aAnswer) {
         mIsStoreBusy = false;
@@ -155,13 +159,13 @@
 
   void OnLeaseLost()
   {
-    mLease.OnUncertain();
+    mLease.Invalidate();
     mVacantSince = mClock.Now();
   }
 
-  void Order(instant aNow,
-             registered_server const& aServer,
-             std::uint64_t aFence)
+  void SendOrder(instant aNow,
+                 registered_server const& aServer,
+                 std::uint64_t aFence)
   {
     loaded_model const target = mPlan.TargetOf(aServer.mId);
     weights_order const order{ .mServer = aServer.mId,
@@ -188,15 +192,15 @@
                    { "fault", aResult.mFault } });
         mPlan.OnAnswer(mClock.Now(), id, answer);
         if (answer == order_answer::Misdirected)
-          mGoneHandler({ .mServer = id, .mIncarnation = current });
+          mAddressTakenHandler({ .mServer = id, .mIncarnation = current });
         if (answer == order_answer::Fenced)
-          mLease.OnUncertain();
+          mLease.Invalidate();
       });
   }
 
-  void Ask(instant aNow, registered_server const& aServer)
+  void RequestState(instant aNow, registered_server const& aServer)
   {
-    mPlan.OnAsked(aNow, aServer.mId);
+    mPlan.OnStateRequested(aNow, aServer.mId);
     mClient.Call({ .mPurpose = "engine_report",
                    .mTo = aServer.mAddress,
                    .mHead = Dialect::ReportRequest(aServer.mId),
@@ -226,9 +230,9 @@
   store_calls<Dialect> mCalls;
   instance_id mSelf;
   order_lease mLease;
-  turnover_plan mPlan;
+  rolling_update_plan mPlan;
   weights_handler mHandler;
-  gone_handler mGoneHandler;
+  address_taken_handler mAddressTakenHandler;
   system_clock mClock;
   instant mVacantSince{};
   bool mIsStoreBusy = false;
--- a/Libraries/LibFleet/OrderLease.cpp
+++ b/Libraries/LibFleet/OrderLease.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-// What an order may need on its way, so that it arrives within the lease.
-constexpr duration kMargin = std::chrono::milliseconds{ 400 };
+// The time that an order may take to arrive, which must lie within the term.
+constexpr duration kDeliveryMargin = std::chrono::milliseconds{ 400 };
 
 }
 
@@ -22,65 +22,65 @@
                     std::optional<lease_record> const& aNewest,
                     std::uint64_t aEnd)
 {
-  mEnd = aEnd;
-  mFollowsOther = aNewest && aNewest->mHolder != mSelf;
-  if (mFollowsOther)
-    NoteOther(aNow, aNewest->mOffset);
-  // An own record whose answer was lost, or of an earlier life, is taken up by
-  // a new one behind it.
-  mHeld.reset();
+  mTopicEnd = aEnd;
+  mIsOtherNewest = aNewest && aNewest->mHolder != mSelf;
+  if (mIsOtherNewest)
+    RecordOther(aNow, aNewest->mOffset);
+  // A record of this instance whose answer was lost, or that an earlier
+  // incarnation wrote, isn't used: a new one is appended after it.
+  mHeldOffset.reset();
   mNotBefore = aNow;
 }
 
 void
 order_lease::OnAppended(std::uint64_t aOffset)
 {
-  bool const isTakeover = !mHeld && mFollowsOther;
-  mHeld = aOffset;
-  mEnd = aOffset + 1;
-  mHeldFrom = mSentAt;
+  bool const isTakeover = !mHeldOffset && mIsOtherNewest;
+  mHeldOffset = aOffset;
+  mTopicEnd = aOffset + 1;
+  mHeldSince = mSentAt;
   if (isTakeover)
     mNotBefore = mOtherSince + mTerm;
-  mFollowsOther = false;
+  mIsOtherNewest = false;
 }
 
 void
-order_lease::OnUncertain()
+order_lease::Invalidate()
 {
-  mHeld.reset();
-  mEnd.reset();
+  mHeldOffset.reset();
+  mTopicEnd.reset();
 }
 
 void
-order_lease::NoteOther(instant aNow, std::uint64_t aOffset)
+order_lease::RecordOther(instant aNow, std::uint64_t aOffset)
 {
-  if (mOther && *mOther >= aOffset)
+  if (mOtherOffset && *mOtherOffset >= aOffset)
     return;
-  mOther = aOffset;
+  mOtherOffset = aOffset;
   mOtherSince = aNow;
 }
 
 void
 order_lease::OnPeerLease(instant aNow, std::uint64_t aOffset)
 {
-  NoteOther(aNow, aOffset);
-  if (aOffset > mHeld.value_or(0))
-    OnUncertain();
+  RecordOther(aNow, aOffset);
+  if (aOffset > mHeldOffset.value_or(0))
+    Invalidate();
 }
 
 bool
 order_lease::IsRenewalDue(instant aNow) const
 {
-  return mHeld && aNow - mHeldFrom > mTerm / 2;
+  return mHeldOffset && aNow - mHeldSince > mTerm / 2;
 }
 
 std::optional<std::uint64_t>
-order_lease::MayOrder(instant aNow) const
+order_lease::FencingNumber(instant aNow) const
 {
-  bool const isInTerm = aNow - mHeldFrom < mTerm - kMargin;
-  if (!mHeld || !isInTerm || aNow < mNotBefore)
+  bool const isInTerm = aNow - mHeldSince < mTerm - kDeliveryMargin;
+  if (!mHeldOffset || !isInTerm || aNow < mNotBefore)
     return std::nullopt;
-  return mHeld;
+  return mHeldOffset;
 }
 
 }
--- a/Libraries/LibFleet/OrderLease.h
+++ b/Libraries/LibFleet/OrderLease.h
@@ -9,20 +9,21 @@
 
 namespace lycheeseam {
 
-/// Whether this instance may give orders to engines.
+/// Decides whether this instance may give orders to engines.
 ///
-/// A lease is a record that its holder appended to the store on condition that
-/// it follows the newest one; its offset is the fencing number. It counts for
-/// its holder from before it was sent, and for a successor from when it first
-/// heard of it; since each record follows the newest one, no later record of
-/// the holder can have escaped it. So the two never give orders at the same
-/// time, and an idle holder is succeeded at once.
+/// A lease is a record that its holder appends to the store on the condition
+/// that it directly follows the newest record; its offset is the fencing
+/// number. Its term starts for the holder when the holder sends the record, and
+/// for a successor when the successor first learns of it. The condition ensures
+/// that a successor whose append succeeds has missed no later record of the
+/// holder. So two instances never give orders at the same time, and an idle
+/// holder, whose term is long over, is succeeded at once.
 class order_lease
 {
 public:
   order_lease(instance_id aSelf, duration aTerm);
 
-  /// The store's newest record and the offset behind it were read.
+  /// The newest record of the topic and the offset after it have been read.
   void OnRead(instant aNow,
               std::optional<lease_record> const& aNewest,
               std::uint64_t aEnd);
@@ -30,48 +31,56 @@
   /// A record of this instance is being sent.
   void OnSend(instant aNow) { mSentAt = aNow; }
 
-  /// The record that was sent last stands at an offset.
+  /// The record that was sent last has been appended at an offset.
   void OnAppended(std::uint64_t aOffset);
 
-  /// Another record stands where this instance's should have, or it isn't
-  /// known whether it stands: the topic must be read again.
-  void OnUncertain();
+  /// Another record is at the offset of this instance's, or it isn't known
+  /// whether the append succeeded: the topic must be read again.
+  void Invalidate();
 
-  /// A peer holds the lease of an offset.
+  /// A peer holds the lease at an offset.
   void OnPeerLease(instant aNow, std::uint64_t aOffset);
 
-  /// The offset at which the next own record must stand; nothing when the
+  /// The offset at which to append this instance's next record; empty when the
   /// topic must be read first.
-  [[nodiscard]] std::optional<std::uint64_t> AppendAt() const { return mEnd; }
+  [[nodiscard]] std::optional<std::uint64_t> AppendOffset() const
+  {
+    return mTopicEnd;
+  }
 
-  /// True when this instance holds the lease, though perhaps too old to act on.
-  [[nodiscard]] bool IsHeld() const noexcept { return mHeld.has_value(); }
+  /// True when this instance holds the lease, even if its term is over.
+  [[nodiscard]] bool IsHeld() const noexcept { return mHeldOffset.has_value(); }
 
-  /// True when a record is to be sent to go on giving orders.
+  /// True when the lease must be renewed so that orders can go on.
   [[nodiscard]] bool IsRenewalDue(instant aNow) const;
 
-  /// The fencing number for an order that is sent now, or nothing.
-  [[nodiscard]] std::optional<std::uint64_t> MayOrder(instant aNow) const;
+  /// The fencing number for an order that is sent now; empty when none may be
+  /// sent.
+  [[nodiscard]] std::optional<std::uint64_t> FencingNumber(instant aNow) const;
 
   /// The offset of the held lease; 0 without one.
-  [[nodiscard]] std::uint64_t Held() const { return mHeld.value_or(0); }
+  [[nodiscard]] std::uint64_t HeldOffset() const
+  {
+    return mHeldOffset.value_or(0);
+  }
 
 private:
-  void NoteOther(instant aNow, std::uint64_t aOffset);
+  void RecordOther(instant aNow, std::uint64_t aOffset);
 
   instance_id mSelf;
   duration mTerm;
   instant mSentAt{};
-  /// From when on orders may be given.
+  /// The earliest time at which orders may be given.
   instant mNotBefore{};
-  instant mHeldFrom{};
-  std::optional<std::uint64_t> mHeld;
-  std::optional<std::uint64_t> mEnd;
-  /// The newest record of another instance, and since when it is known.
-  std::optional<std::uint64_t> mOther;
+  instant mHeldSince{};
+  std::optional<std::uint64_t> mHeldOffset;
+  std::optional<std::uint64_t> mTopicEnd;
+  /// The offset of the newest record of another instance, and when this
+  /// instance first learned of it.
+  std::optional<std::uint64_t> mOtherOffset;
   instant mOtherSince{};
   /// True while the newest record is another instance's.
-  bool mFollowsOther = false;
+  bool mIsOtherNewest = false;
 };
 
 }
--- a/Libraries/LibFleet/PeerLink.h
+++ b/Libraries/LibFleet/PeerLink.h
@@ -13,28 +13,32 @@
 
 namespace lycheeseam {
 
-/// A link to another instance, and what came over it last.
+/// A link to another instance, with the last report and roster that came over
+/// it.
 struct peer_link
 {
-  /// Some reports may be lost or late before the other side counts as silent.
-  static constexpr std::chrono::milliseconds kSilence{ 900 };
+  /// Allows for some reports that are lost or late before the peer counts as
+  /// unresponsive.
+  static constexpr std::chrono::milliseconds kUnresponsiveAfter{ 900 };
 
   peer_hello mHello;
+  /// When the link opened.
   instant mUpAt{};
   std::optional<instant> mReportedAt;
   fleet_report mReport;
   fleet_roster mRoster;
-  /// What each workspace was admitted by the last report.
-  std::map<workspace_id, workspace_usage> mTold;
-  /// What this instance counted of it.
-  usage_totals mCounted;
+  /// The usage of each workspace by the last report.
+  std::map<workspace_id, workspace_usage> mReportedUsage;
+  /// The part of the reported usage that this instance has counted.
+  usage_totals mCountedUsage;
 
+  /// True while the peer's reports arrive in time.
   [[nodiscard]] bool IsLive(instant aNow) const
   {
-    return mReportedAt && aNow - *mReportedAt <= kSilence;
+    return mReportedAt && aNow - *mReportedAt <= kUnresponsiveAfter;
   }
 
-  /// True when the other side reports through this instance.
+  /// True when the peer is a child, which reports through this instance.
   [[nodiscard]] bool IsChild() const
   {
     return mReportedAt && mReport.mScope == report_scope::Branch;
--- a/Libraries/LibFleet/PeerRegistry.cpp
+++ b/Libraries/LibFleet/PeerRegistry.cpp
@@ -9,24 +9,24 @@
 
 namespace {
 
-// A child that lost its parent has another one by then.
-constexpr duration kLostRosterUse = std::chrono::seconds{ 3 };
+// A child whose parent failed has another one by then.
+constexpr duration kFormerParentRosterUse = std::chrono::seconds{ 3 };
 
 }
 
 void
-peer_book::OnUp(instant aNow, peer_hello const& aHello)
+peer_registry::OnUp(instant aNow, peer_hello const& aHello)
 {
   if (aHello.mIdentity.mInstance == mSelf)
     return;
-  mKnown.OnHeard(aNow, aHello);
+  mKnown.OnObserved(aNow, aHello);
   mLinks[aHello.mIdentity.mInstance] = peer_link{
     .mHello = aHello, .mUpAt = aNow, .mRoster = { { { .mHello = aHello } } }
   };
 }
 
 peer_link*
-peer_book::FindLink(instance_identity const& aPeer)
+peer_registry::FindLink(instance_identity const& aPeer)
 {
   auto const found = mLinks.find(aPeer.mInstance);
   bool const isSameIdentity =
@@ -35,26 +35,26 @@
 }
 
 void
-peer_book::OnDown(instant aNow, instance_identity const& aPeer)
+peer_registry::OnDown(instant aNow, instance_identity const& aPeer)
 {
   peer_link* const found = FindLink(aPeer);
   if (found == nullptr)
     return;
-  peer_link& lost = *found;
-  if (lost.mReportedAt && lost.mReport.mScope == report_scope::Rest) {
-    mLostRoster = std::move(lost.mRoster);
-    std::erase_if(mLostRoster.mEntries, [&aPeer](auto const& aEntry) {
+  peer_link& closed = *found;
+  if (closed.mReportedAt && closed.mReport.mScope == report_scope::Rest) {
+    mFormerParentRoster = std::move(closed.mRoster);
+    std::erase_if(mFormerParentRoster.mEntries, [&aPeer](auto const& aEntry) {
       return aEntry.mHello.mIdentity.mInstance == aPeer.mInstance;
     });
-    mLostUntil = aNow + kLostRosterUse;
+    mFormerParentRosterUntil = aNow + kFormerParentRosterUse;
   }
   mLinks.erase(aPeer.mInstance);
   if (!IsInRosters(aPeer.mInstance))
-    mKnown.OnAway(aNow, aPeer.mInstance);
+    mKnown.OnUnreachable(aNow, aPeer.mInstance);
 }
 
 bool
-peer_book::IsInRosters(instance_id const& aInstance) const
+peer_registry::IsInRosters(instance_id const& aInstance) const
 {
   return std::any_of(mLinks.begin(), mLinks.end(), [&](auto const& aLink) {
     std::vector<roster_entry> const& entries = aLink.second.mRoster.mEntries;
@@ -66,63 +66,63 @@
 }
 
 bool
-peer_book::OnReport(instant aNow,
-                    instance_identity const& aPeer,
-                    fleet_report const& aReport)
+peer_registry::OnReport(instant aNow,
+                        instance_identity const& aPeer,
+                        fleet_report const& aReport)
 {
   peer_link* const found = FindLink(aPeer);
   if (found == nullptr)
     return false;
   peer_link& link = *found;
-  mTally.OnReport(aNow, link, aReport);
-  bool const isNews = link.mReport.mLease != aReport.mLease ||
-                      link.mReport.mUpdating != aReport.mUpdating;
+  mUsage.OnReport(aNow, link, aReport);
+  bool const hasChanged = link.mReport.mLease != aReport.mLease ||
+                          link.mReport.mUpdating != aReport.mUpdating;
   link.mReport = aReport;
   link.mReportedAt = aNow;
-  return isNews;
+  return hasChanged;
 }
 
 bool
-peer_book::OnRoster(instant aNow,
-                    instance_identity const& aPeer,
-                    fleet_roster const& aRoster)
+peer_registry::OnRoster(instant aNow,
+                        instance_identity const& aPeer,
+                        fleet_roster const& aRoster)
 {
   peer_link* const found = FindLink(aPeer);
   if (found == nullptr || found->mRoster == aRoster)
     return false;
   fleet_roster const before = std::exchange(found->mRoster, aRoster);
-  NoteVanished(aNow, before);
+  MarkUnreported(aNow, before);
   for (roster_entry const& entry : aRoster.mEntries)
-    mKnown.OnHeard(aNow, entry.mHello);
+    mKnown.OnObserved(aNow, entry.mHello);
   if (aRoster.mEntries.size() > 1)
-    mLostRoster = {};
+    mFormerParentRoster = {};
   return true;
 }
 
 void
-peer_book::NoteVanished(instant aNow, fleet_roster const& aBefore)
+peer_registry::MarkUnreported(instant aNow, fleet_roster const& aBefore)
 {
   for (roster_entry const& entry : aBefore.mEntries) {
     instance_id const& id = entry.mHello.mIdentity.mInstance;
     if (!IsInRosters(id))
-      mKnown.OnAway(aNow, id);
+      mKnown.OnUnreachable(aNow, id);
   }
 }
 
 void
-peer_book::Prune(instant aNow)
+peer_registry::Prune(instant aNow)
 {
-  if (aNow >= mLostUntil)
-    mLostRoster = {};
+  if (aNow >= mFormerParentRosterUntil)
+    mFormerParentRoster = {};
   for (auto const& [id, link] : mLinks) {
     for (roster_entry const& entry : link.mRoster.mEntries)
-      mKnown.OnStillHeard(aNow, entry.mHello.mIdentity.mInstance);
+      mKnown.OnStillReported(aNow, entry.mHello.mIdentity.mInstance);
   }
   mKnown.Prune(aNow);
 }
 
 std::vector<caller_entry>
-peer_book::Entries() const
+peer_registry::Entries() const
 {
   std::map<instance_id, caller_entry> entries;
   auto const add = [&](fleet_roster const& aRoster) {
@@ -134,7 +134,7 @@
                         .mAddress = entry.mHello.mCallers };
     }
   };
-  add(mLostRoster);
+  add(mFormerParentRoster);
   for (auto const& [id, link] : mLinks)
     add(link.mRoster);
   std::vector<caller_entry> list;
@@ -146,7 +146,7 @@
 }
 
 std::vector<roster_entry const*>
-peer_book::LiveEntries(instant aNow) const
+peer_registry::LiveEntries(instant aNow) const
 {
   std::vector<roster_entry const*> entries;
   for (auto const& [id, link] : mLinks) {
@@ -159,16 +159,16 @@
 }
 
 std::uint32_t
-peer_book::Silent(instant aNow) const
+peer_registry::Unresponsive(instant aNow) const
 {
-  std::set<instance_id> heard;
+  std::set<instance_id> responsive;
   for (roster_entry const* const entry : LiveEntries(aNow))
-    heard.insert(entry->mHello.mIdentity.mInstance);
-  return mKnown.CountBesides(heard);
+    responsive.insert(entry->mHello.mIdentity.mInstance);
+  return mKnown.CountExcluding(responsive);
 }
 
 std::vector<workspace_usage>
-peer_book::Used(instant aNow) const
+peer_registry::WindowUsage(instant aNow) const
 {
   for (auto const& [id, link] : mLinks) {
     if (link.IsLive(aNow) && !link.mReport.mUsed.empty())
@@ -178,19 +178,19 @@
 }
 
 std::set<backend_server_id>
-peer_book::Turning(instant aNow) const
+peer_registry::Updating(instant aNow) const
 {
   std::uint64_t const newest = NewestLease(aNow);
   for (auto const& [id, link] : mLinks) {
-    std::vector<backend_server_id> const& turning = link.mReport.mUpdating;
+    std::vector<backend_server_id> const& updating = link.mReport.mUpdating;
     if (newest != 0 && link.IsLive(aNow) && link.mReport.mLease == newest)
-      return { turning.begin(), turning.end() };
+      return { updating.begin(), updating.end() };
   }
   return {};
 }
 
 std::uint64_t
-peer_book::NewestLease(instant aNow) const
+peer_registry::NewestLease(instant aNow) const
 {
   std::uint64_t newest = 0;
   for (auto const& [id, link] : mLinks) {
@@ -201,7 +201,7 @@
 }
 
 bool
-peer_book::HasReader(instant aNow) const
+peer_registry::HasReader(instant aNow) const
 {
   return std::any_of(
     mLinks.begin(), mLinks.end(), [this, aNow](auto const& aEntry) {
@@ -212,7 +212,7 @@
 }
 
 std::uint32_t
-peer_book::Rank(instant aNow) const
+peer_registry::Rank(instant aNow) const
 {
   std::set<instance_id> before;
   for (roster_entry const* const entry : LiveEntries(aNow)) {
--- a/Libraries/LibFleet/PeerRegistry.h
+++ b/Libraries/LibFleet/PeerRegistry.h
@@ -15,14 +15,14 @@
 
 namespace lycheeseam {
 
-/// The other instances: those registered in the store, those with a link, and
-/// those that linked ones speak for.
-class peer_book
+/// What is known of the other instances: those registered in the store, those
+/// with a link, and those on whose behalf linked peers report.
+class peer_registry
 {
 public:
   using links = std::map<instance_id, peer_link>;
 
-  explicit peer_book(instance_id aSelf)
+  explicit peer_registry(instance_id aSelf)
     : mSelf(aSelf)
     , mKnown(std::move(aSelf))
   {
@@ -37,80 +37,82 @@
   void OnUp(instant aNow, peer_hello const& aHello);
   void OnDown(instant aNow, instance_identity const& aPeer);
 
-  /// Takes a report; true when it changes which servers turn.
+  /// Records a report; true when the lease or the set of servers being updated
+  /// has changed.
   bool OnReport(instant aNow,
                 instance_identity const& aPeer,
                 fleet_report const& aReport);
 
-  /// Takes who lives behind a link; true when it is news.
+  /// Records the roster of a peer; true when it has changed.
   bool OnRoster(instant aNow,
                 instance_identity const& aPeer,
                 fleet_roster const& aRoster);
 
-  /// A parent can't be reached or says nothing; it counts as away until
-  /// something is heard of it.
+  /// A parent can't be reached or is unresponsive; it counts as unreachable
+  /// until it is observed again.
   void OnUnreachable(instant aNow, instance_id const& aPeer)
   {
-    mKnown.OnAway(aNow, aPeer);
+    mKnown.OnUnreachable(aNow, aPeer);
   }
 
-  /// Forgets instances that have been away for long, and after a while what a
-  /// lost parent told.
+  /// Removes instances that haven't been observed for long, and after a while
+  /// the roster of a former parent.
   void Prune(instant aNow);
 
   /// The other instances, whether or not they can be reached.
   [[nodiscard]] known_instances const& Known() const noexcept { return mKnown; }
 
-  /// The others that take callers and aren't leaving.
+  /// The other instances that are ready for callers and aren't leaving.
   [[nodiscard]] std::vector<caller_entry> Entries() const;
 
-  /// How many of the others nobody has heard of lately.
-  [[nodiscard]] std::uint32_t Silent(instant aNow) const;
+  /// The number of other instances that no live link reports.
+  [[nodiscard]] std::uint32_t Unresponsive(instant aNow) const;
 
-  /// What the others admitted, so far as this instance heard of it while they
-  /// weren't silent; a silent instance's share is taken as spent instead.
-  [[nodiscard]] spending_tally const& Spending() const noexcept
-  {
-    return mTally;
-  }
+  /// What the other instances admitted, as reported while they were responsive.
+  /// An unresponsive instance is assumed to use its whole share instead.
+  [[nodiscard]] peer_usage const& Usage() const noexcept { return mUsage; }
 
-  /// What all instances admitted in the last quota window, as told by a peer
-  /// that has counted for so long; empty without one.
-  [[nodiscard]] std::vector<workspace_usage> Used(instant aNow) const;
+  /// What all instances admitted in the last quota window, from a live peer
+  /// that has counted for a whole window; empty without such a peer.
+  [[nodiscard]] std::vector<workspace_usage> WindowUsage(instant aNow) const;
 
-  /// The servers that the holder of the newest lease turns.
-  [[nodiscard]] std::set<backend_server_id> Turning(instant aNow) const;
+  /// The servers that the holder of the newest lease is updating.
+  [[nodiscard]] std::set<backend_server_id> Updating(instant aNow) const;
 
-  /// The newest lease that a live peer gives orders under; 0 for none.
+  /// The offset of the newest lease that a live peer reports; 0 for none.
   [[nodiscard]] std::uint64_t NewestLease(instant aNow) const;
 
-  /// True when a live instance with a name before this one's reads the store
-  /// for others.
+  /// True when a live instance whose id sorts before this one's reads the store
+  /// for the others.
   [[nodiscard]] bool HasReader(instant aNow) const;
 
-  /// How many live instances that aren't leaving have names before this one's.
+  /// The number of live instances that aren't leaving and whose ids sort before
+  /// this one's.
   [[nodiscard]] std::uint32_t Rank(instant aNow) const;
 
   [[nodiscard]] links const& Links() const noexcept { return mLinks; }
 
 private:
-  // The instances that live links speak for; one may stand behind several.
+  // The entries of the rosters of all live links; an instance may be in
+  // several.
   [[nodiscard]] std::vector<roster_entry const*> LiveEntries(
     instant aNow) const;
-  // The link to that life of a peer, or null.
+  // The link to that incarnation of a peer, or null.
   [[nodiscard]] peer_link* FindLink(instance_identity const& aPeer);
-  // True when a peer with a link speaks for the instance.
+  // True when the roster of any link contains the instance.
   [[nodiscard]] bool IsInRosters(instance_id const& aInstance) const;
-  // Instances that no peer speaks for any more can't be reached.
-  void NoteVanished(instant aNow, fleet_roster const& aBefore);
+  // Marks as unreachable the instances of an earlier roster that no roster
+  // contains any more.
+  void MarkUnreported(instant aNow, fleet_roster const& aBefore);
 
   instance_id mSelf;
   known_instances mKnown;
   links mLinks;
-  spending_tally mTally;
-  /// What the parent told that was lost last, and until when it is used.
-  fleet_roster mLostRoster;
-  instant mLostUntil{};
+  peer_usage mUsage;
+  /// The roster of the last parent whose link closed, and until when it is
+  /// used.
+  fleet_roster mFormerParentRoster;
+  instant mFormerParentRosterUntil{};
 };
 
 }
--- a/Libraries/LibFleet/PeerUsage.cpp
+++ b/Libraries/LibFleet/PeerUsage.cpp
@@ -5,37 +5,37 @@
 namespace lycheeseam {
 
 void
-spending_tally::OnReport(instant aNow,
-                         peer_link& aLink,
-                         fleet_report const& aReport)
+peer_usage::OnReport(instant aNow,
+                     peer_link& aLink,
+                     fleet_report const& aReport)
 {
-  // What was admitted before this instance first heard of it lies in the
-  // window that it is told of, or long ago.
+  // What was admitted before the first report over a link is part of the window
+  // usage that peers send to a new instance, or older than the window.
   bool const isCounted =
     aLink.IsLive(aNow) && aLink.mReport.mScope == aReport.mScope;
-  for (workspace_usage const& spent : aReport.mSpent) {
-    workspace_usage& before = aLink.mTold[spent.mWorkspace];
+  for (workspace_usage const& usage : aReport.mSpent) {
+    workspace_usage& before = aLink.mReportedUsage[usage.mWorkspace];
     workspace_usage const added{
-      .mWorkspace = spent.mWorkspace,
-      .mUnits = std::max(0.0, spent.mUnits - before.mUnits),
-      .mDemand = std::max(0.0, spent.mDemand - before.mDemand)
+      .mWorkspace = usage.mWorkspace,
+      .mUnits = std::max(0.0, usage.mUnits - before.mUnits),
+      .mDemand = std::max(0.0, usage.mDemand - before.mDemand)
     };
-    before = spent;
+    before = usage;
     if (!isCounted)
       continue;
-    mSpent.Add(added);
-    aLink.mCounted.Add(added);
+    mTotals.Add(added);
+    aLink.mCountedUsage.Add(added);
     if (aReport.mScope == report_scope::Branch)
-      mSpentByChildren.Add(added);
+      mChildTotals.Add(added);
   }
 }
 
 usage_totals
-spending_tally::SpentBesides(peer_link const& aLink) const
+peer_usage::Excluding(peer_link const& aLink) const
 {
-  usage_totals spent = mSpent;
-  spent.Subtract(aLink.mCounted);
-  return spent;
+  usage_totals usage = mTotals;
+  usage.Subtract(aLink.mCountedUsage);
+  return usage;
 }
 
 }
--- a/Libraries/LibFleet/PeerUsage.h
+++ b/Libraries/LibFleet/PeerUsage.h
@@ -7,32 +7,33 @@
 
 namespace lycheeseam {
 
-/// Adds up what other instances admitted, as their reports tell it.
-class spending_tally
+/// Adds up what other instances admitted, from their reports.
+class peer_usage
 {
 public:
-  /// Takes a report of a link. What it tells is only remembered, not counted,
-  /// when the report before it was too long ago or told of others.
+  /// Adds what a report over aLink shows beyond the report before it. When that
+  /// one is too old, or had another scope, the report's figures are only
+  /// recorded as the new base and nothing is counted.
   void OnReport(instant aNow, peer_link& aLink, fleet_report const& aReport);
 
-  /// All that was counted.
-  [[nodiscard]] std::vector<workspace_usage> Spent() const
+  /// All usage that was counted, by workspace.
+  [[nodiscard]] std::vector<workspace_usage> Total() const
   {
-    return mSpent.List();
+    return mTotals.List();
   }
 
-  /// The part of it that came from children.
-  [[nodiscard]] usage_totals const& SpentByChildren() const noexcept
+  /// The part of it that children reported.
+  [[nodiscard]] usage_totals const& ByChildren() const noexcept
   {
-    return mSpentByChildren;
+    return mChildTotals;
   }
 
-  /// The part of it that didn't come over this link.
-  [[nodiscard]] usage_totals SpentBesides(peer_link const& aLink) const;
+  /// The part of it that didn't come over aLink.
+  [[nodiscard]] usage_totals Excluding(peer_link const& aLink) const;
 
 private:
-  usage_totals mSpent;
-  usage_totals mSpentByChildren;
+  usage_totals mTotals;
+  usage_totals mChildTotals;
 };
 
 }
--- a/Libraries/LibFleet/ReaderElection.cpp
+++ b/Libraries/LibFleet/ReaderElection.cpp
@@ -3,39 +3,39 @@
 namespace lycheeseam {
 
 void
-store_duty::OnRead(instant aNow, bool aWasAnswered)
+reader_election::OnRead(instant aNow, bool aWasAnswered)
 {
   if (aWasAnswered)
     mAnsweredAt = aNow;
 }
 
 void
-store_duty::OnPeerEnd(instant aNow,
-                      std::uint64_t aOwnEnd,
-                      std::uint64_t aPeerEnd)
+reader_election::OnPeerEnd(instant aNow,
+                           std::uint64_t aOwnEnd,
+                           std::uint64_t aPeerEnd)
 {
   if (aPeerEnd <= aOwnEnd) {
-    mBehindSince.reset();
+    mLaggingSince.reset();
     return;
   }
-  if (!mBehindSince)
-    mBehindSince = aNow;
-  if (aNow - *mBehindSince < kBehind)
+  if (!mLaggingSince)
+    mLaggingSince = aNow;
+  if (aNow - *mLaggingSince < kLagTolerance)
     return;
-  mBehindSince.reset();
-  ReadSoon();
+  mLaggingSince.reset();
+  RequestRead();
 }
 
 bool
-store_duty::IsDue(instant aNow, bool aHasReader) const
+reader_election::IsDue(instant aNow, bool aHasReader) const
 {
-  return mIsWanted || (!aHasReader && aNow >= mNextAt);
+  return mIsReadRequested || (!aHasReader && aNow >= mNextReadAt);
 }
 
 bool
-store_duty::IsReading(instant aNow) const
+reader_election::IsReading(instant aNow) const
 {
-  return mAnsweredAt != instant{} && aNow - mAnsweredAt < kFresh;
+  return mAnsweredAt != instant{} && aNow - mAnsweredAt < kAnswerFreshness;
 }
 
 }
--- a/Libraries/LibFleet/ReaderElection.h
+++ b/Libraries/LibFleet/ReaderElection.h
@@ -8,9 +8,9 @@
 
 namespace lycheeseam {
 
-/// When this instance is to read the store. One instance reads for all; the
-/// others read for themselves only while none does.
-class store_duty
+/// Decides when this instance reads a topic of the store. One elected instance
+/// reads for all; the others read for themselves only while no instance does.
+class reader_election
 {
 public:
   /// A read of the store ended.
@@ -19,36 +19,38 @@
   /// True when a read is due.
   [[nodiscard]] bool IsDue(instant aNow, bool aHasReader) const;
 
-  /// Reads at the next look whoever else reads, as after a gap in what others
-  /// passed on.
-  void ReadSoon() { mIsWanted = true; }
+  /// Makes a read due at once, whichever instance is elected, as after a gap in
+  /// the relayed records.
+  void RequestRead() { mIsReadRequested = true; }
 
-  /// A peer tells how far it has the records, of which this instance has those
-  /// before aOwnEnd. Being behind for long, it reads at the next look.
+  /// A peer reports the offset after its last record; this instance has the
+  /// records before aOwnEnd. When this instance has been lagging for too long,
+  /// a read is due at once.
   void OnPeerEnd(instant aNow, std::uint64_t aOwnEnd, std::uint64_t aPeerEnd);
 
-  void OnStart(instant aNow)
+  void OnReadStart(instant aNow)
   {
-    mNextAt = aNow + kInterval;
-    mIsWanted = false;
+    mNextReadAt = aNow + kPollInterval;
+    mIsReadRequested = false;
   }
 
-  /// True while this instance's own reads are answered.
+  /// True while the store answers this instance's own reads.
   [[nodiscard]] bool IsReading(instant aNow) const;
 
 private:
-  // Configurations are in force within two seconds of their acknowledgement,
-  // and leaving servers get no more work after two; half a second leaves time
-  // for a read that fails.
-  static constexpr std::chrono::milliseconds kInterval{ 400 };
-  static constexpr std::chrono::milliseconds kFresh{ 1'100 };
-  // What a peer passes on comes before its next report.
-  static constexpr std::chrono::milliseconds kBehind{ 300 };
-
-  instant mNextAt{};
+  // A configuration is in force within 2 s of its acknowledgement, and a
+  // leaving server gets no more work after 2 s; an interval below half a second
+  // leaves time for a read that fails.
+  static constexpr std::chrono::milliseconds kPollInterval{ 400 };
+  static constexpr std::chrono::milliseconds kAnswerFreshness{ 1'100 };
+  // Relayed records arrive before the next report of the peer that relayed
+  // them, so a longer lag means that some were lost.
+  static constexpr std::chrono::milliseconds kLagTolerance{ 300 };
+
+  instant mNextReadAt{};
   instant mAnsweredAt{};
-  std::optional<instant> mBehindSince;
-  bool mIsWanted = false;
+  std::optional<instant> mLaggingSince;
+  bool mIsReadRequested = false;
 };
 
 }
--- a/Libraries/LibFleet/ReportExchange.cpp
+++ b/Libraries/LibFleet/ReportExchange.cpp
@@ -7,12 +7,12 @@
 namespace lycheeseam {
 
 report_exchange::report_exchange(peer_hello aSelf,
-                                 peer_book& aBook,
+                                 peer_registry& aRegistry,
                                  send_handler aSend,
                                  contacts_handler aContacts,
                                  release_handler aRelease)
   : mSelf(std::move(aSelf))
-  , mBook(aBook)
+  , mRegistry(aRegistry)
   , mSend(std::move(aSend))
   , mContactsHandler(std::move(aContacts))
   , mReleaseHandler(std::move(aRelease))
@@ -22,39 +22,41 @@
 void
 report_exchange::Tick(instant aNow)
 {
-  if (aNow < mNextLayout)
+  if (aNow < mNextTopologyAt)
     return;
-  mNextLayout = aNow + kLayoutInterval;
-  LayOut(aNow);
+  mNextTopologyAt = aNow + kTopologyInterval;
+  UpdateTopology(aNow);
   ReleaseUnused(aNow);
-  std::erase_if(mTold, [this](auto const& aEntry) {
-    return !mBook.Links().contains(aEntry.first);
+  std::erase_if(mSentRosters, [this](auto const& aEntry) {
+    return !mRegistry.Links().contains(aEntry.first);
   });
 }
 
 void
-report_exchange::LayOut(instant aNow)
+report_exchange::UpdateTopology(instant aNow)
 {
-  if (mLayout.mParent && aNow - mParentSince > kParentPatience) {
-    auto const link = mBook.Links().find(*mLayout.mParent);
-    if (link == mBook.Links().end() || !link->second.IsLive(aNow))
-      mBook.OnUnreachable(aNow, *mLayout.mParent);
+  if (mTopology.mParent && aNow - mParentSince > kParentTimeout) {
+    auto const link = mRegistry.Links().find(*mTopology.mParent);
+    if (link == mRegistry.Links().end() || !link->second.IsLive(aNow))
+      mRegistry.OnUnreachable(aNow, *mTopology.mParent);
   }
-  report_layout layout =
-    LayOutReports(mSelf, mBook.Known().Present(), mLayout.mParent);
-  if (layout.mParent != mLayout.mParent) {
+  report_topology topology = ComputeReportTopology(
+    mSelf, mRegistry.Known().Reachable(), mTopology.mParent);
+  if (topology.mParent != mTopology.mParent) {
     mParentSince = aNow;
-    LogEvent("reports_to",
-             { { "parent",
-                 layout.mParent ? layout.mParent->Text() : std::string{} } });
+    LogEvent(
+      "reports_to",
+      { { "parent",
+          topology.mParent ? topology.mParent->Text() : std::string{} } });
   }
-  mLayout = std::move(layout);
-  std::vector<peer_contact> contacts = mLayout.mContacts;
-  // A root keeps trying those that it lost, who try it by the same rule.
-  if (!mLayout.mParent) {
-    for (peer_hello const& away : mBook.Known().Away())
-      contacts.push_back(
-        { .mAddress = away.mPeers, .mInstance = away.mIdentity.mInstance });
+  mTopology = std::move(topology);
+  std::vector<peer_contact> contacts = mTopology.mContacts;
+  // A root keeps trying to connect to instances that it can't reach; those that
+  // are roots do the same.
+  if (!mTopology.mParent) {
+    for (peer_hello const& unreachable : mRegistry.Known().Unreachable())
+      contacts.push_back({ .mAddress = unreachable.mPeers,
+                           .mInstance = unreachable.mIdentity.mInstance });
   }
   mContactsHandler(contacts);
 }
@@ -63,14 +65,15 @@
 report_exchange::ReleaseUnused(instant aNow)
 {
   std::vector<instance_id> unused;
-  for (auto const& [id, link] : mBook.Links()) {
+  for (auto const& [id, link] : mRegistry.Links()) {
     bool const isContact =
-      std::any_of(mLayout.mContacts.begin(),
-                  mLayout.mContacts.end(),
+      std::any_of(mTopology.mContacts.begin(),
+                  mTopology.mContacts.end(),
                   [&id = id](peer_contact const& aContact) {
                     return aContact.mInstance == id;
                   });
-    if (!isContact && !link.IsLive(aNow) && aNow - link.mUpAt > kUnusedLink)
+    if (!isContact && !link.IsLive(aNow) &&
+        aNow - link.mUpAt > kUnusedLinkTimeout)
       unused.push_back(id);
   }
   for (instance_id const& peer : unused)
@@ -78,15 +81,15 @@
 }
 
 bool
-report_exchange::IsTaken(instance_id const& aPeer, report_scope aScope) const
+report_exchange::IsAccepted(instance_id const& aPeer, report_scope aScope) const
 {
   switch (aScope) {
     case report_scope::Branch:
       return true;
     case report_scope::Rest:
-      return mLayout.mParent == aPeer;
+      return mTopology.mParent == aPeer;
     case report_scope::Root:
-      return !mLayout.mParent;
+      return !mTopology.mParent;
   }
   return false;
 }
@@ -94,33 +97,34 @@
 std::optional<report_scope>
 report_exchange::ScopeTo(instant aNow, peer_link const& aLink) const
 {
-  if (mLayout.mParent == aLink.mHello.mIdentity.mInstance)
+  if (mTopology.mParent == aLink.mHello.mIdentity.mInstance)
     return report_scope::Branch;
   if (aLink.IsChild())
     return aLink.IsLive(aNow) ? std::optional{ report_scope::Rest }
                               : std::nullopt;
-  if (!mLayout.mParent)
+  if (!mTopology.mParent)
     return report_scope::Root;
   return std::nullopt;
 }
 
 std::chrono::milliseconds
-report_exchange::Delay() const
+report_exchange::ReportDelay() const
 {
-  // Between the children of two roots reports take three steps, each of which
-  // waits up to 150 ms for the next report. What few instances admit within one
-  // step is covered by the part of the slack that is kept back.
-  constexpr std::chrono::milliseconds kThroughRoots{ 400 };
+  // From a child of one root to a child of another a report takes three steps,
+  // each of which waits up to 150 ms for the next report. While all instances
+  // are roots it takes one step, and the part of the quota slack that is held
+  // back covers what so few instances admit within it.
+  constexpr std::chrono::milliseconds kDelayThroughRoots{ 400 };
   bool const areAllRoots =
-    mBook.Known().CountPresent() < report_layout::kMostRootsOnly;
-  return areAllRoots ? std::chrono::milliseconds{} : kThroughRoots;
+    mRegistry.Known().CountReachable() < report_topology::kMaxInstancesAllRoots;
+  return areAllRoots ? std::chrono::milliseconds{} : kDelayThroughRoots;
 }
 
 void
-report_exchange::Add(report_news aNews)
+report_exchange::Add(report_update aUpdate)
 {
-  if (!aNews.IsEmpty())
-    mNews.push_back(std::move(aNews));
+  if (!aUpdate.IsEmpty())
+    mUpdates.push_back(std::move(aUpdate));
 }
 
 void
@@ -129,12 +133,12 @@
                             report_scope aScope,
                             instance_id const& aTo)
 {
-  instant const upAt = mBook.Links().at(aTo).mUpAt;
-  fleet_roster roster = ComposeRoster(aNow, mBook, aOwn, aScope, aTo);
-  told_roster& told = mTold[aTo];
-  if (told.mUpAt == upAt && told.mRoster == roster)
+  instant const upAt = mRegistry.Links().at(aTo).mUpAt;
+  fleet_roster roster = ComposeRoster(aNow, mRegistry, aOwn, aScope, aTo);
+  sent_roster& sent = mSentRosters[aTo];
+  if (sent.mUpAt == upAt && sent.mRoster == roster)
     return;
-  told = { .mUpAt = upAt, .mRoster = roster };
+  sent = { .mUpAt = upAt, .mRoster = roster };
   mSend(std::span{ &aTo, 1 }, std::move(roster));
 }
 
@@ -147,34 +151,36 @@
   roster_entry const self{ .mHello = mSelf,
                            .mIsReady = aIsReady,
                            .mIsLeaving = aIsLeaving };
-  std::vector<report_news> const news = std::exchange(mNews, {});
+  std::vector<report_update> const updates = std::exchange(mUpdates, {});
   std::vector<instance_id> roots;
-  std::vector<instance_id> youngRoots;
-  for (auto const& [id, link] : mBook.Links()) {
+  std::vector<instance_id> newRoots;
+  for (auto const& [id, link] : mRegistry.Links()) {
     std::optional<report_scope> const scope = ScopeTo(aNow, link);
     if (!scope)
       continue;
     SendRoster(aNow, self, *scope, id);
-    bool const isYoung = aNow - link.mUpAt < kUsedIsTold;
+    bool const isNewLink = aNow - link.mUpAt < kWindowUsagePeriod;
     if (*scope == report_scope::Root) {
-      (isYoung ? youngRoots : roots).push_back(id);
+      (isNewLink ? newRoots : roots).push_back(id);
       continue;
     }
-    fleet_report report = ComposeReport(aNow, mBook, aOwn, news, *scope, id);
-    if (isYoung)
+    fleet_report report =
+      ComposeReport(aNow, mRegistry, aOwn, updates, *scope, id);
+    if (isNewLink)
       report.mUsed = aOwn.mUsed;
     mSend(std::span{ &id, 1 }, std::move(report));
   }
-  if (roots.empty() && youngRoots.empty())
+  if (roots.empty() && newRoots.empty())
     return;
-  // All roots are told the same but for what young ones lack.
+  // All roots get the same report, except that roots with a new link also get
+  // the usage of the quota window.
   fleet_report report =
-    ComposeReport(aNow, mBook, aOwn, news, report_scope::Root, {});
+    ComposeReport(aNow, mRegistry, aOwn, updates, report_scope::Root, {});
   if (!roots.empty())
     mSend(roots, report);
   report.mUsed = aOwn.mUsed;
-  if (!youngRoots.empty())
-    mSend(youngRoots, std::move(report));
+  if (!newRoots.empty())
+    mSend(newRoots, std::move(report));
 }
 
 void
@@ -184,11 +190,11 @@
 {
   bool isOfBranch = !aFrom;
   if (aFrom) {
-    auto const source = mBook.Links().find(*aFrom);
-    isOfBranch = source != mBook.Links().end() && source->second.IsChild();
+    auto const source = mRegistry.Links().find(*aFrom);
+    isOfBranch = source != mRegistry.Links().end() && source->second.IsChild();
   }
   std::vector<instance_id> targets;
-  for (auto const& [id, link] : mBook.Links()) {
+  for (auto const& [id, link] : mRegistry.Links()) {
     std::optional<report_scope> const scope = ScopeTo(aNow, link);
     if (scope && id != aFrom && (isOfBranch || *scope == report_scope::Rest))
       targets.push_back(id);
--- a/Libraries/LibFleet/ReportExchange.h
+++ b/Libraries/LibFleet/ReportExchange.h
@@ -15,69 +15,74 @@
 
 namespace lycheeseam {
 
-/// Who of the instances reports to whom, and what this one tells each of its
-/// peers. Runs on the control thread.
+/// Keeps the position of this instance in the tree of reports, and sends
+/// reports, rosters and relayed records to its peers. Runs on the control
+/// thread.
 class report_exchange
 {
 public:
   using send_handler =
     std::function<void(std::span<instance_id const>, fleet_message)>;
-  /// Hears whom to keep links to.
+  /// Receives the peers to keep links to.
   using contacts_handler = std::function<void(std::span<peer_contact const>)>;
-  /// Hears of a peer whose link has no more use.
+  /// Receives a peer whose link is no longer needed.
   using release_handler = std::function<void(instance_id const&)>;
 
   report_exchange(peer_hello aSelf,
-                  peer_book& aBook,
+                  peer_registry& aRegistry,
                   send_handler aSend,
                   contacts_handler aContacts,
                   release_handler aRelease);
 
-  /// Lays out anew who reports to whom when it is due.
+  /// Recomputes the topology and releases unused links when that is due.
   void Tick(instant aNow);
 
-  /// The known instances have changed: the next tick lays out.
-  void OnInstances() { mNextLayout = instant{}; }
+  /// The known instances have changed: the next tick recomputes the topology.
+  void OnInstancesChanged() { mNextTopologyAt = instant{}; }
 
-  /// True when a peer's reports are to be taken: from a peer that doesn't
-  /// stand where it believes, they tell what others tell as well.
-  [[nodiscard]] bool IsTaken(instance_id const& aPeer,
-                             report_scope aScope) const;
+  /// True when reports of this scope from a peer are used. A peer whose
+  /// topology disagrees with this instance's repeats what other peers report.
+  [[nodiscard]] bool IsAccepted(instance_id const& aPeer,
+                                report_scope aScope) const;
 
-  /// How old what is known of others may be; 0 when it is too young to matter.
-  [[nodiscard]] std::chrono::milliseconds Delay() const;
+  /// How old reports of other instances may be on arrival; 0 when the delay is
+  /// negligible.
+  [[nodiscard]] std::chrono::milliseconds ReportDelay() const;
 
-  /// Keeps news for the next report.
-  void Add(report_news aNews);
+  /// Stores an update for the next report.
+  void Add(report_update aUpdate);
 
-  /// Tells all peers; aOwn tells of this instance alone.
+  /// Sends each peer a report, and its roster when that has changed. aOwn holds
+  /// the state of this instance alone.
   void Report(instant aNow,
               fleet_report const& aOwn,
               bool aIsReady,
               bool aIsLeaving);
 
-  /// Passes on records of the store, read here or told by a peer.
+  /// Passes on records of the store that this instance read, or that the peer
+  /// aFrom passed on.
   void Relay(instant aNow,
              topic_relay const& aRelay,
              std::optional<instance_id> const& aFrom);
 
 private:
-  static constexpr std::chrono::milliseconds kLayoutInterval{ 500 };
-  // A parent that was restarted takes this long to be back.
-  static constexpr std::chrono::milliseconds kParentPatience{ 1'500 };
-  // A peer that starts learns within it what was admitted lately.
-  static constexpr std::chrono::seconds kUsedIsTold{ 10 };
-  // The other end of an unused link may only be late to find a use for it.
-  static constexpr std::chrono::seconds kUnusedLink{ 5 };
-
-  /// What a peer was told last, over the link that began then.
-  struct told_roster
+  static constexpr std::chrono::milliseconds kTopologyInterval{ 500 };
+  // A restarted parent is reachable again within this time.
+  static constexpr std::chrono::milliseconds kParentTimeout{ 1'500 };
+  // Reports over a link contain the usage of the quota window for this long
+  // after the link opened, so that an instance that starts learns it.
+  static constexpr std::chrono::seconds kWindowUsagePeriod{ 10 };
+  // The topology of the other end may lag and need the link a moment later.
+  static constexpr std::chrono::seconds kUnusedLinkTimeout{ 5 };
+
+  /// The roster that was sent last over the link that opened at mUpAt.
+  struct sent_roster
   {
     instant mUpAt{};
     fleet_roster mRoster;
   };
 
-  void LayOut(instant aNow);
+  void UpdateTopology(instant aNow);
   void ReleaseUnused(instant aNow);
   [[nodiscard]] std::optional<report_scope> ScopeTo(
     instant aNow,
@@ -88,16 +93,16 @@
                   instance_id const& aTo);
 
   peer_hello mSelf;
-  peer_book& mBook;
+  peer_registry& mRegistry;
   send_handler mSend;
   contacts_handler mContactsHandler;
   release_handler mReleaseHandler;
-  report_layout mLayout;
-  /// Since when the parent has been this one.
+  report_topology mTopology;
+  /// Since when the current parent has been the parent.
   instant mParentSince{};
-  instant mNextLayout{};
-  std::vector<report_news> mNews;
-  std::map<instance_id, told_roster> mTold;
+  instant mNextTopologyAt{};
+  std::vector<report_update> mUpdates;
+  std::map<instance_id, sent_roster> mSentRosters;
 };
 
 }
--- a/Libraries/LibFleet/ReportTopology.cpp
+++ b/Libraries/LibFleet/ReportTopology.cpp
@@ -15,8 +15,8 @@
 using members = std::vector<peer_hello const*>;
 using domain_members = std::map<failure_domain, members>;
 
-// A root has as much work with another root as with a child; with a few more
-// children than roots the links that cross failure domains are fewer.
+// Another root costs a root as much work as a child does. With a few more
+// children than roots, fewer links cross failure domains.
 constexpr double kBranchFactor = 1.2;
 
 std::uint64_t
@@ -26,8 +26,9 @@
   return XXH3_64bits_withSeed(name.data(), name.size(), aSeed);
 }
 
-// The order in which instances become roots: those with the most processor
-// first, then by chance, which spreads them over what their names stand for.
+// The order in which instances become roots: the largest processor capacity
+// first, then a hash of the id, so that roots don't cluster by whatever the ids
+// encode.
 bool
 ComesBefore(peer_hello const& aFirst, peer_hello const& aSecond)
 {
@@ -40,7 +41,7 @@
   return aFirst.mIdentity.mInstance < aSecond.mIdentity.mInstance;
 }
 
-// The roots of one failure domain, which this reorders.
+// Returns the roots of one failure domain; reorders aDomain.
 std::span<peer_hello const* const>
 RootsOf(members& aDomain, std::size_t aBranch)
 {
@@ -60,8 +61,8 @@
   return { .mAddress = aPeer.mPeers, .mInstance = aPeer.mIdentity.mInstance };
 }
 
-// Rendezvous hashing: a root that is lost spreads its children over the
-// others and moves nobody else.
+// Rendezvous hashing: when a root fails, its children spread over the other
+// roots, and no other child changes its parent.
 peer_hello const&
 ChooseParent(peer_hello const& aSelf, std::span<peer_hello const* const> aRoots)
 {
@@ -75,8 +76,8 @@
     });
 }
 
-report_layout
-Child(peer_hello const& aParent)
+report_topology
+ChildTopology(peer_hello const& aParent)
 {
   return { .mParent = aParent.mIdentity.mInstance,
            .mContacts = { Contact(aParent) } };
@@ -97,17 +98,17 @@
 
 }
 
-report_layout
-LayOutReports(peer_hello const& aSelf,
-              std::span<peer_hello const> aOthers,
-              std::optional<instance_id> const& aParent)
+report_topology
+ComputeReportTopology(peer_hello const& aSelf,
+                      std::span<peer_hello const> aOthers,
+                      std::optional<instance_id> const& aParent)
 {
-  report_layout layout;
+  report_topology topology;
   std::size_t const count = aOthers.size() + 1;
-  if (count <= report_layout::kMostRootsOnly) {
+  if (count <= report_topology::kMaxInstancesAllRoots) {
     for (peer_hello const& other : aOthers)
-      layout.mContacts.push_back(Contact(other));
-    return layout;
+      topology.mContacts.push_back(Contact(other));
+    return topology;
   }
   std::size_t const branch = static_cast<std::size_t>(
     std::ceil(kBranchFactor * std::sqrt(static_cast<double>(count))));
@@ -116,19 +117,20 @@
   for (peer_hello const& other : aOthers)
     domains[other.mFailureDomain].push_back(&other);
 
-  std::span<peer_hello const* const> const mine =
+  std::span<peer_hello const* const> const ownRoots =
     RootsOf(domains[aSelf.mFailureDomain], branch);
-  if (std::find(mine.begin(), mine.end(), &aSelf) == mine.end()) {
+  if (std::find(ownRoots.begin(), ownRoots.end(), &aSelf) == ownRoots.end()) {
     peer_hello const* const parent = FindParent(aSelf, aOthers, aParent);
-    return Child(parent != nullptr ? *parent : ChooseParent(aSelf, mine));
+    return ChildTopology(parent != nullptr ? *parent
+                                           : ChooseParent(aSelf, ownRoots));
   }
   for (domain_members::value_type& domain : domains) {
     for (peer_hello const* const root : RootsOf(domain.second, branch)) {
       if (root != &aSelf)
-        layout.mContacts.push_back(Contact(*root));
+        topology.mContacts.push_back(Contact(*root));
     }
   }
-  return layout;
+  return topology;
 }
 
 }
--- a/Libraries/LibFleet/ReportTopology.h
+++ b/Libraries/LibFleet/ReportTopology.h
@@ -10,30 +10,31 @@
 
 namespace lycheeseam {
 
-/// Where an instance stands among those that exchange reports, and whom it
+/// The position of an instance in the tree of reports, and the peers that it
 /// keeps links to. Roots exchange the reports of their branches with each
 /// other; every other instance reports to one parent in its failure domain.
-struct report_layout
+struct report_topology
 {
-  /// So many instances are all roots.
-  static constexpr std::size_t kMostRootsOnly = 12;
+  /// Up to this many instances are all roots.
+  static constexpr std::size_t kMaxInstancesAllRoots = 12;
 
-  /// Nothing for a root.
+  /// Empty for a root.
   std::optional<instance_id> mParent;
   std::vector<peer_contact> mContacts;
 
-  bool operator==(report_layout const&) const = default;
+  bool operator==(report_topology const&) const = default;
 };
 
-/// Lays out what aSelf sees: aOthers are the other instances that may live.
-/// aParent is its parent so far, which stays while it lives.
+/// Computes the topology of aSelf; aOthers are the other instances that may be
+/// running, as far as aSelf knows. A child keeps aParent, its parent so far,
+/// while that is among aOthers.
 ///
-/// Instances that see others lay out differently for a while. A parent always
-/// comes before its children in one order that depends on nothing but the two,
-/// so that they never form a ring.
-report_layout
-LayOutReports(peer_hello const& aSelf,
-              std::span<peer_hello const> aOthers,
-              std::optional<instance_id> const& aParent);
+/// Instances that know different sets of instances compute different topologies
+/// for a while. Parents still never form a cycle: a parent precedes its
+/// children in an order that depends on the two instances only.
+report_topology
+ComputeReportTopology(peer_hello const& aSelf,
+                      std::span<peer_hello const> aOthers,
+                      std::optional<instance_id> const& aParent);
 
 }
--- a/Libraries/LibFleet/ReportUpdate.h
+++ b/Libraries/LibFleet/ReportUpdate.h
@@ -5,12 +5,13 @@
 
 namespace lycheeseam {
 
-/// What an instance saw, to be told once to all others.
-struct report_news
+/// Crashes, weights and prefix holders that an instance observed, to be
+/// reported once to all others.
+struct report_update
 {
-  /// The peer that told it; empty for what this instance saw itself.
+  /// The peer that reported it; empty for this instance's own observations.
   instance_id mFrom;
-  /// It came from a child, or is this instance's own.
+  /// True when it came from a child, or is this instance's own.
   bool mIsOfBranch = true;
   std::vector<crash_count> mCrashes;
   std::vector<observed_weights> mWeights;
--- a/Libraries/LibFleet/RollingUpdatePlan.cpp
+++ b/Libraries/LibFleet/RollingUpdatePlan.cpp
@@ -7,182 +7,185 @@
 namespace lycheeseam {
 
 void
-turnover_plan::DropDone(std::span<registered_server const> aServers)
+rolling_update_plan::RemoveFinished(std::span<registered_server const> aServers)
 {
-  std::erase_if(mTurns, [aServers](auto const& aEntry) {
+  std::erase_if(mUpdates, [aServers](auto const& aEntry) {
     registered_server const* const server = FindServer(aServers, aEntry.first);
     return server == nullptr ||
            server->mIncarnation != aEntry.second.mIncarnation ||
            server->mStage != server_stage::Ready ||
-           server->VersionOf(aEntry.second.mModel) >= aEntry.second.mTarget;
+           server->VersionOf(aEntry.second.mModel) >=
+             aEntry.second.mTargetVersion;
   });
 }
 
-turnover_plan::pool_census
-turnover_plan::Count(std::span<registered_server const> aServers,
-                     target_weights const& aNamed) const
+rolling_update_plan::progress_by_pool
+rolling_update_plan::CountByPool(std::span<registered_server const> aServers,
+                                 target_weights const& aTarget) const
 {
-  pool_census pools;
+  progress_by_pool pools;
   for (registered_server const& server : aServers) {
-    std::uint64_t const version = server.VersionOf(aNamed.mModel);
+    std::uint64_t const version = server.VersionOf(aTarget.mModel);
     if (version == 0 || server.mStage != server_stage::Ready)
       continue;
-    census& pool = pools[server.mPool];
+    pool_progress& pool = pools[server.mPool];
     ++pool.mSize;
-    if (mTurns.contains(server.mId))
+    if (mUpdates.contains(server.mId))
       ++pool.mUpdating;
-    else if (version >= aNamed.Newest())
-      ++pool.mTurned;
+    else if (version >= aTarget.Newest())
+      ++pool.mUpdated;
     else
-      pool.mBehind.push_back(&server);
+      pool.mOutdated.push_back(&server);
   }
   return pools;
 }
 
 std::size_t
-turnover_plan::MostTurning(census const& aPool) const
+rolling_update_plan::MaxUpdating(pool_progress const& aPool) const
 {
   double const size = static_cast<double>(aPool.mSize);
   std::size_t const first =
-    static_cast<std::size_t>(std::ceil(size * mTiming.mFirstPart));
+    static_cast<std::size_t>(std::ceil(size * mTiming.mInitialShare));
   std::size_t const later =
-    static_cast<std::size_t>(std::ceil(size * mTiming.mLaterPart));
-  return std::max<std::size_t>(1, aPool.mTurned >= first ? later : first);
+    static_cast<std::size_t>(std::ceil(size * mTiming.mLaterShare));
+  return std::max<std::size_t>(1, aPool.mUpdated >= first ? later : first);
 }
 
 void
-turnover_plan::Update(instant aNow,
-                      std::span<registered_server const> aServers,
-                      std::span<target_weights const> aWeights)
+rolling_update_plan::Update(instant aNow,
+                            std::span<registered_server const> aServers,
+                            std::span<target_weights const> aWeights)
 {
-  DropDone(aServers);
-  for (target_weights const& named : aWeights) {
-    auto const isOlder = [&named](registered_server const* aLeft,
-                                  registered_server const* aRight) {
-      return aLeft->VersionOf(named.mModel) < aRight->VersionOf(named.mModel);
+  RemoveFinished(aServers);
+  for (target_weights const& target : aWeights) {
+    auto const isOlder = [&target](registered_server const* aLeft,
+                                   registered_server const* aRight) {
+      return aLeft->VersionOf(target.mModel) < aRight->VersionOf(target.mModel);
     };
-    pool_census pools = Count(aServers, named);
-    for (pool_census::value_type& entry : pools) {
-      census& pool = entry.second;
-      std::stable_sort(pool.mBehind.begin(), pool.mBehind.end(), isOlder);
-      std::size_t const most = MostTurning(pool);
-      std::size_t const room = most - std::min(most, pool.mUpdating);
-      pool.mBehind.resize(std::min(room, pool.mBehind.size()));
-      for (registered_server const* const server : pool.mBehind)
-        Begin(aNow, *server, named);
+    progress_by_pool pools = CountByPool(aServers, target);
+    for (progress_by_pool::value_type& entry : pools) {
+      pool_progress& pool = entry.second;
+      std::stable_sort(pool.mOutdated.begin(), pool.mOutdated.end(), isOlder);
+      std::size_t const limit = MaxUpdating(pool);
+      std::size_t const available = limit - std::min(limit, pool.mUpdating);
+      pool.mOutdated.resize(std::min(available, pool.mOutdated.size()));
+      for (registered_server const* const server : pool.mOutdated)
+        StartUpdate(aNow, *server, target);
     }
   }
 }
 
 void
-turnover_plan::Begin(instant aNow,
-                     registered_server const& aServer,
-                     target_weights const& aNamed)
+rolling_update_plan::StartUpdate(instant aNow,
+                                 registered_server const& aServer,
+                                 target_weights const& aTarget)
 {
-  mTurns[aServer.mId] = { .mIncarnation = aServer.mIncarnation,
-                          .mModel = aNamed.mModel,
-                          .mTarget = aNamed.Newest(),
-                          .mOrderAt = aNow + mTiming.mNotice,
-                          .mAskAt = aNow };
+  mUpdates[aServer.mId] = { .mIncarnation = aServer.mIncarnation,
+                            .mModel = aTarget.mModel,
+                            .mTargetVersion = aTarget.Newest(),
+                            .mOrderAt = aNow + mTiming.mNoticeTime,
+                            .mStateRequestAt = aNow };
 }
 
 std::set<backend_server_id>
-turnover_plan::Turning() const
+rolling_update_plan::Updating() const
 {
-  std::set<backend_server_id> turning;
-  for (auto const& [id, turn] : mTurns)
-    turning.insert(id);
-  return turning;
+  std::set<backend_server_id> updating;
+  for (auto const& [id, update] : mUpdates)
+    updating.insert(id);
+  return updating;
 }
 
 std::vector<backend_server_id>
-turnover_plan::DueOrders(instant aNow) const
+rolling_update_plan::DueOrders(instant aNow) const
 {
   std::vector<backend_server_id> due;
-  for (auto const& [id, turn] : mTurns) {
-    if (!turn.mIsOrdered && turn.mOrders && aNow >= turn.mOrderAt)
+  for (auto const& [id, update] : mUpdates) {
+    if (!update.mIsOrdered && update.mOrders && aNow >= update.mOrderAt)
       due.push_back(id);
   }
   return due;
 }
 
 std::vector<backend_server_id>
-turnover_plan::DueQuestions(instant aNow) const
+rolling_update_plan::DueStateRequests(instant aNow) const
 {
   std::vector<backend_server_id> due;
-  for (auto const& [id, turn] : mTurns) {
-    bool const isWanted = turn.mIsOrdered || !turn.mOrders;
-    if (isWanted && aNow >= turn.mAskAt)
+  for (auto const& [id, update] : mUpdates) {
+    bool const isStateNeeded = update.mIsOrdered || !update.mOrders;
+    if (isStateNeeded && aNow >= update.mStateRequestAt)
       due.push_back(id);
   }
   return due;
 }
 
 void
-turnover_plan::OnOrdered(instant aNow, backend_server_id const& aServer)
+rolling_update_plan::OnOrdered(instant aNow, backend_server_id const& aServer)
 {
-  auto const found = mTurns.find(aServer);
-  if (found == mTurns.end())
+  auto const found = mUpdates.find(aServer);
+  if (found == mUpdates.end())
     return;
   found->second.mIsOrdered = true;
   found->second.mOrderedAt = aNow;
-  found->second.mAskAt = aNow + mTiming.mFirstQuestion;
+  found->second.mStateRequestAt = aNow + mTiming.mFirstStateRequestDelay;
 }
 
 void
-turnover_plan::OnAnswer(instant aNow,
-                        backend_server_id const& aServer,
-                        order_answer aAnswer)
+rolling_update_plan::OnAnswer(instant aNow,
+                              backend_server_id const& aServer,
+                              order_answer aAnswer)
 {
-  auto const found = mTurns.find(aServer);
-  if (found == mTurns.end())
+  auto const found = mUpdates.find(aServer);
+  if (found == mUpdates.end())
     return;
   switch (aAnswer) {
     case order_answer::Accepted:
     case order_answer::Unknown:
       return;
     case order_answer::Busy:
-      // Its state tells what it is busy with and how many orders it accepted.
+      // The server's state shows whether it is still busy and how many orders
+      // it has accepted.
       found->second.mOrders.reset();
       found->second.mIsOrdered = false;
-      found->second.mAskAt = aNow + mTiming.mBusyPause;
+      found->second.mStateRequestAt = aNow + mTiming.mBusyDelay;
       return;
     case order_answer::Misdirected:
-      mTurns.erase(found);
+      mUpdates.erase(found);
       return;
     case order_answer::Fenced:
     case order_answer::Refused:
       found->second.mIsOrdered = false;
-      found->second.mOrderAt = aNow + mTiming.mRepeat;
+      found->second.mOrderAt = aNow + mTiming.mRetryDelay;
       return;
   }
 }
 
 void
-turnover_plan::OnAsked(instant aNow, backend_server_id const& aServer)
+rolling_update_plan::OnStateRequested(instant aNow,
+                                      backend_server_id const& aServer)
 {
-  auto const found = mTurns.find(aServer);
-  if (found != mTurns.end())
-    found->second.mAskAt = aNow + mTiming.mQuestionInterval;
+  auto const found = mUpdates.find(aServer);
+  if (found != mUpdates.end())
+    found->second.mStateRequestAt = aNow + mTiming.mStateRequestInterval;
 }
 
 void
-turnover_plan::OnReport(instant aNow,
-                        backend_server_id const& aServer,
-                        engine_report const& aReport)
+rolling_update_plan::OnReport(instant aNow,
+                              backend_server_id const& aServer,
+                              engine_report const& aReport)
 {
-  auto const found = mTurns.find(aServer);
-  if (found == mTurns.end())
+  auto const found = mUpdates.find(aServer);
+  if (found == mUpdates.end())
     return;
-  turn& known = found->second;
+  engine_update& known = found->second;
   if (!aReport.mIsBusy)
     known.mOrders = aReport.mOrders;
-  // The report is older than the order may be, so only a calm engine some time
+  // The report may be older than the order, so only an idle engine some time
   // after the order shows that the order had no effect.
   bool const isIdle =
-    !aReport.mIsBusy && aNow - known.mOrderedAt > mTiming.mRepeat;
+    !aReport.mIsBusy && aNow - known.mOrderedAt > mTiming.mRetryDelay;
   for (loaded_model const& model : aReport.mModels) {
-    if (model.mModel == known.mModel && model.mVersion < known.mTarget &&
+    if (model.mModel == known.mModel && model.mVersion < known.mTargetVersion &&
         isIdle) {
       known.mIsOrdered = false;
       known.mOrderAt = aNow;
@@ -191,19 +194,20 @@
 }
 
 std::uint64_t
-turnover_plan::OrdersOf(backend_server_id const& aServer) const
+rolling_update_plan::OrdersOf(backend_server_id const& aServer) const
 {
-  auto const found = mTurns.find(aServer);
-  return found == mTurns.end() ? 0 : found->second.mOrders.value_or(0);
+  auto const found = mUpdates.find(aServer);
+  return found == mUpdates.end() ? 0 : found->second.mOrders.value_or(0);
 }
 
 loaded_model
-turnover_plan::TargetOf(backend_server_id const& aServer) const
+rolling_update_plan::TargetOf(backend_server_id const& aServer) const
 {
-  auto const found = mTurns.find(aServer);
-  if (found == mTurns.end())
+  auto const found = mUpdates.find(aServer);
+  if (found == mUpdates.end())
     return {};
-  return { .mModel = found->second.mModel, .mVersion = found->second.mTarget };
+  return { .mModel = found->second.mModel,
+           .mVersion = found->second.mTargetVersion };
 }
 
 }
--- a/Libraries/LibFleet/RollingUpdatePlan.h
+++ b/Libraries/LibFleet/RollingUpdatePlan.h
@@ -15,92 +15,100 @@
 
 namespace lycheeseam {
 
-/// Brings the engines of all pools to the newest weights, a part at a time.
+/// Plans the rolling update of the engines of all pools to the target weights,
+/// a share of each pool at a time.
 ///
-/// A server is first taken out of the choice of all instances, then ordered,
-/// so that it finishes its runs while no new one comes; the instances lead
-/// new work to servers that have turned.
-class turnover_plan
+/// A server is first withdrawn from new work on all instances, then ordered to
+/// load the weights, so that it finishes its runs while no new ones start. The
+/// instances prefer servers that are updated for new work.
+class rolling_update_plan
 {
 public:
-  explicit turnover_plan(turnover_timing aTiming)
+  explicit rolling_update_plan(rolling_update_timing aTiming)
     : mTiming(aTiming)
   {
   }
 
-  /// Looks at all servers; picks those to turn next.
+  /// Takes the state of all servers; removes finished updates and starts the
+  /// next ones.
   void Update(instant aNow,
               std::span<registered_server const> aServers,
               std::span<target_weights const> aWeights);
 
-  /// Servers that get no new work.
-  [[nodiscard]] std::set<backend_server_id> Turning() const;
+  /// The servers being updated, which get no new work.
+  [[nodiscard]] std::set<backend_server_id> Updating() const;
 
-  /// Servers whose order is due; the caller sends it and calls OnOrdered.
+  /// The servers whose order is due; the caller sends it and calls OnOrdered.
   [[nodiscard]] std::vector<backend_server_id> DueOrders(instant aNow) const;
 
-  /// Servers to be asked for their state; the caller asks and calls OnAsked.
-  [[nodiscard]] std::vector<backend_server_id> DueQuestions(instant aNow) const;
+  /// The servers whose state is to be requested; the caller sends the request
+  /// and calls OnStateRequested.
+  [[nodiscard]] std::vector<backend_server_id> DueStateRequests(
+    instant aNow) const;
 
   void OnOrdered(instant aNow, backend_server_id const& aServer);
   void OnAnswer(instant aNow,
                 backend_server_id const& aServer,
                 order_answer aAnswer);
-  void OnAsked(instant aNow, backend_server_id const& aServer);
+  void OnStateRequested(instant aNow, backend_server_id const& aServer);
   void OnReport(instant aNow,
                 backend_server_id const& aServer,
                 engine_report const& aReport);
 
-  /// The orders that a server whose order is due has accepted.
+  /// The number of orders that a server has accepted, which is known once its
+  /// order is due.
   [[nodiscard]] std::uint64_t OrdersOf(backend_server_id const& aServer) const;
 
-  /// The weights that a server is being brought to; version 0 when it isn't.
+  /// The weights that a server is being updated to; version 0 when it isn't
+  /// being updated.
   [[nodiscard]] loaded_model TargetOf(backend_server_id const& aServer) const;
 
-  /// Gives up all that was begun, as when the lease is lost.
-  void Clear() { mTurns.clear(); }
+  /// Abandons all updates, as when the lease is lost.
+  void Clear() { mUpdates.clear(); }
 
-  [[nodiscard]] bool IsIdle() const noexcept { return mTurns.empty(); }
+  [[nodiscard]] bool IsIdle() const noexcept { return mUpdates.empty(); }
 
 private:
-  struct turn
+  /// The update of one server that is in progress.
+  struct engine_update
   {
     incarnation mIncarnation;
     model_name mModel;
-    std::uint64_t mTarget = 0;
+    std::uint64_t mTargetVersion = 0;
     /// When the order is due.
     instant mOrderAt{};
     bool mIsOrdered = false;
     instant mOrderedAt{};
-    instant mAskAt{};
-    /// The orders that it accepted; nothing until it was asked, and after an
-    /// order whose fate isn't known.
+    instant mStateRequestAt{};
+    /// The number of orders that the server has accepted; empty until it
+    /// reports its state, and again once it answers an order with Busy.
     std::optional<std::uint64_t> mOrders;
   };
 
-  /// How a pool stands towards the newest weights of one model.
-  struct census
+  /// The progress of a pool towards the target weights of one model.
+  struct pool_progress
   {
     std::size_t mSize = 0;
-    std::size_t mTurned = 0;
+    std::size_t mUpdated = 0;
     std::size_t mUpdating = 0;
-    std::vector<registered_server const*> mBehind;
+    std::vector<registered_server const*> mOutdated;
   };
-  using pool_census = std::map<pool_name, census>;
+  using progress_by_pool = std::map<pool_name, pool_progress>;
 
-  [[nodiscard]] pool_census Count(std::span<registered_server const> aServers,
-                                  target_weights const& aNamed) const;
+  [[nodiscard]] progress_by_pool CountByPool(
+    std::span<registered_server const> aServers,
+    target_weights const& aTarget) const;
 
-  /// How many servers of a pool may turn at a time.
-  [[nodiscard]] std::size_t MostTurning(census const& aPool) const;
+  /// The number of servers of a pool that may be updated at a time.
+  [[nodiscard]] std::size_t MaxUpdating(pool_progress const& aPool) const;
 
-  void DropDone(std::span<registered_server const> aServers);
-  void Begin(instant aNow,
-             registered_server const& aServer,
-             target_weights const& aNamed);
+  void RemoveFinished(std::span<registered_server const> aServers);
+  void StartUpdate(instant aNow,
+                   registered_server const& aServer,
+                   target_weights const& aTarget);
 
-  turnover_timing mTiming;
-  std::map<backend_server_id, turn> mTurns;
+  rolling_update_timing mTiming;
+  std::map<backend_server_id, engine_update> mUpdates;
 };
 
 }
--- a/Libraries/LibFleet/RollingUpdateTiming.h
+++ b/Libraries/LibFleet/RollingUpdateTiming.h
@@ -6,25 +6,26 @@
 
 namespace lycheeseam {
 
-/// The pace at which engines are brought to new weights.
-struct turnover_timing
+/// The pace of a rolling update of engines to the target weights.
+struct rolling_update_timing
 {
-  /// From telling peers that a server turns to its order: what a message
-  /// between instances takes, with some margin.
-  duration mNotice = std::chrono::milliseconds{ 60 };
-  /// The part of a pool that may turn while few servers have the newest
-  /// weights.
-  double mFirstPart = 0.25;
-  /// The part of a pool that may turn once as many have them.
-  double mLaterPart = 0.34;
-  /// From an order to the first question for the server's state: an engine
-  /// loads no faster.
-  duration mFirstQuestion = std::chrono::milliseconds{ 450 };
-  duration mQuestionInterval = std::chrono::milliseconds{ 150 };
-  /// After this an order without effect is given again.
-  duration mRepeat = std::chrono::milliseconds{ 1'500 };
-  /// The pause after an engine said that it is busy.
-  duration mBusyPause = std::chrono::milliseconds{ 400 };
+  /// From reporting to peers that a server is being updated until its order:
+  /// the time that a message between instances takes, with some margin.
+  duration mNoticeTime = std::chrono::milliseconds{ 60 };
+  /// The share of a pool that may be updated at a time while few of its servers
+  /// have the target weights.
+  double mInitialShare = 0.25;
+  /// The share of a pool that may be updated at a time once mInitialShare of
+  /// its servers have the target weights.
+  double mLaterShare = 0.34;
+  /// From an order to the first request of the server's state; an engine loads
+  /// no faster.
+  duration mFirstStateRequestDelay = std::chrono::milliseconds{ 450 };
+  duration mStateRequestInterval = std::chrono::milliseconds{ 150 };
+  /// From an order to its retry when it had no effect.
+  duration mRetryDelay = std::chrono::milliseconds{ 1'500 };
+  /// From an answer that the engine is busy to the next request of its state.
+  duration mBusyDelay = std::chrono::milliseconds{ 400 };
 };
 
 }
--- a/Libraries/LibFleet/ServerRegistry.cpp
+++ b/Libraries/LibFleet/ServerRegistry.cpp
@@ -8,73 +8,75 @@
 
 namespace {
 
-// Servers that live and reach the store are back in it within two seconds of
-// its return.
-constexpr duration kReturnTime = std::chrono::milliseconds{ 2'200 };
+// Running servers that reach the store register again within two seconds of its
+// return.
+constexpr duration kGracePeriod = std::chrono::milliseconds{ 2'200 };
 
 }
 
 bool
-server_register::OnEntry(registered_server aServer)
+server_registry::OnEntry(registered_server aServer)
 {
   entry& known = mEntries[aServer.mId];
-  // A late word of an earlier life says nothing of this one.
+  // A late entry of an earlier incarnation says nothing about the current one.
   if (aServer.mIncarnation < known.mServer.mIncarnation)
     return false;
   if (aServer.mIncarnation == known.mServer.mIncarnation)
     aServer.KeepNewerVersions(known.mServer);
-  bool const isNews = aServer.mIncarnation != known.mServer.mIncarnation ||
-                      aServer.mStage != known.mServer.mStage;
+  bool const isNew = aServer.mIncarnation != known.mServer.mIncarnation ||
+                     aServer.mStage != known.mServer.mStage;
   known.mServer = std::move(aServer);
-  known.mGoneAt.reset();
-  return isNews;
+  known.mGracePeriodEnd.reset();
+  return isNew;
 }
 
 void
-server_register::OnDropped(instant aNow, backend_server_id const& aServer)
+server_registry::OnDropped(instant aNow, backend_server_id const& aServer)
 {
   auto const found = mEntries.find(aServer);
   if (found == mEntries.end())
     return;
-  bool const mayReturn =
-    mIsStoreAway || (mStoreBackAt && aNow - *mStoreBackAt < kReturnTime);
-  if (!mayReturn) {
+  bool const mayRegisterAgain =
+    mIsStoreUnreachable ||
+    (mStoreReachableSince && aNow - *mStoreReachableSince < kGracePeriod);
+  if (!mayRegisterAgain) {
     mEntries.erase(found);
     return;
   }
-  if (!found->second.mGoneAt)
-    found->second.mGoneAt = mStoreBackAt.value_or(aNow) + kReturnTime;
+  if (!found->second.mGracePeriodEnd)
+    found->second.mGracePeriodEnd =
+      mStoreReachableSince.value_or(aNow) + kGracePeriod;
 }
 
 bool
-server_register::OnAbsent(server_identity const& aGone)
+server_registry::OnAddressTaken(server_identity const& aServer)
 {
-  auto const found = mEntries.find(aGone.mServer);
+  auto const found = mEntries.find(aServer.mServer);
   if (found == mEntries.end() ||
-      found->second.mServer.mIncarnation != aGone.mIncarnation)
+      found->second.mServer.mIncarnation != aServer.mIncarnation)
     return false;
   mEntries.erase(found);
   return true;
 }
 
 void
-server_register::OnStoreFailure()
+server_registry::OnStoreFailure()
 {
-  mIsStoreAway = true;
+  mIsStoreUnreachable = true;
 }
 
 void
-server_register::OnStoreAnswer(instant aNow)
+server_registry::OnStoreAnswer(instant aNow)
 {
-  if (std::exchange(mIsStoreAway, false))
-    mStoreBackAt = aNow;
+  if (std::exchange(mIsStoreUnreachable, false))
+    mStoreReachableSince = aNow;
 }
 
 bool
-server_register::OnWeights(backend_server_id const& aServer,
-                           incarnation aIncarnation,
-                           model_name const& aModel,
-                           std::uint64_t aVersion)
+server_registry::OnObservedWeights(backend_server_id const& aServer,
+                                   incarnation aIncarnation,
+                                   model_name const& aModel,
+                                   std::uint64_t aVersion)
 {
   auto const found = mEntries.find(aServer);
   return found != mEntries.end() &&
@@ -83,15 +85,16 @@
 }
 
 bool
-server_register::Expire(instant aNow)
+server_registry::Expire(instant aNow)
 {
   return std::erase_if(mEntries, [aNow](auto const& aEntry) {
-           return aEntry.second.mGoneAt && aNow >= *aEntry.second.mGoneAt;
+           return aEntry.second.mGracePeriodEnd &&
+                  aNow >= *aEntry.second.mGracePeriodEnd;
          }) > 0;
 }
 
 std::vector<registered_server>
-server_register::Servers() const
+server_registry::Servers() const
 {
   std::vector<registered_server> servers;
   servers.reserve(mEntries.size());
--- a/Libraries/LibFleet/ServerRegistry.h
+++ b/Libraries/LibFleet/ServerRegistry.h
@@ -12,20 +12,22 @@
 
 /// The backend servers that are registered in the store.
 ///
-/// Entries lapse while the store is away, also those of servers that live;
-/// such a server has a short time to come back before it counts as gone.
-class server_register
+/// Entries expire during an outage of the store, even those of running servers.
+/// Such a server gets a grace period after the outage to register again before
+/// it is removed.
+class server_registry
 {
 public:
-  /// A server wrote its entry; true when it is new, or says that it leaves.
+  /// A server has written its entry; true when the server, its incarnation or
+  /// its stage is new.
   bool OnEntry(registered_server aServer);
 
-  /// A server's entry was dropped.
+  /// A server's entry has been dropped from the store.
   void OnDropped(instant aNow, backend_server_id const& aServer);
 
-  /// Another server answered at its address. True when it was registered; its
-  /// next entry brings it back.
-  bool OnAbsent(server_identity const& aGone);
+  /// Another server answered at the address of aServer, which stays removed
+  /// until it writes its next entry. True when that incarnation was registered.
+  bool OnAddressTaken(server_identity const& aServer);
 
   /// The store failed to answer.
   void OnStoreFailure();
@@ -33,13 +35,14 @@
   /// The store answered.
   void OnStoreAnswer(instant aNow);
 
-  /// An engine showed its weights; true when they are newer than was known.
-  bool OnWeights(backend_server_id const& aServer,
-                 incarnation aIncarnation,
-                 model_name const& aModel,
-                 std::uint64_t aVersion);
+  /// Weights of an engine were observed; true when they are newer than the
+  /// known ones.
+  bool OnObservedWeights(backend_server_id const& aServer,
+                         incarnation aIncarnation,
+                         model_name const& aModel,
+                         std::uint64_t aVersion);
 
-  /// Drops servers whose time to come back is over; true when any was.
+  /// Removes servers whose grace period is over; true when there were any.
   bool Expire(instant aNow);
 
   [[nodiscard]] std::vector<registered_server> Servers() const;
@@ -48,13 +51,13 @@
   struct entry
   {
     registered_server mServer;
-    /// When a lapsed entry counts as gone.
-    std::optional<instant> mGoneAt;
+    /// When the grace period of a dropped entry ends; empty for other entries.
+    std::optional<instant> mGracePeriodEnd;
   };
 
   std::map<backend_server_id, entry> mEntries;
-  bool mIsStoreAway = false;
-  std::optional<instant> mStoreBackAt;
+  bool mIsStoreUnreachable = false;
+  std::optional<instant> mStoreReachableSince;
 };
 
 }
--- a/Libraries/LibFleet/StoreAppendResult.h
+++ b/Libraries/LibFleet/StoreAppendResult.h
@@ -6,11 +6,11 @@
 
 namespace lycheeseam {
 
-/// How an append to the store ended, and where its record stands.
+/// The status of an append to the store, and the offset of its record.
 struct store_append_result
 {
   store_append_status mStatus = store_append_status::Unknown;
-  /// Of the record, when it was appended.
+  /// The record's offset, when it was appended.
   std::uint64_t mOffset = 0;
 };
 
--- a/Libraries/LibFleet/StoreAppendStatus.h
+++ b/Libraries/LibFleet/StoreAppendStatus.h
@@ -6,11 +6,11 @@
 enum class store_append_status
 {
   Done,
-  /// The topic doesn't end where the append was to stand.
+  /// The topic doesn't end at the offset that the append required.
   Conflict,
   /// Nothing was appended.
   Refused,
-  /// No answer: it may have been appended, or may be later.
+  /// No answer: the record may have been appended, or may be later.
   Unknown,
 };
 
--- a/Libraries/LibFleet/StoreCalls.h
+++ b/Libraries/LibFleet/StoreCalls.h
@@ -13,15 +13,17 @@
 
 namespace lycheeseam {
 
-/// The calls of the store that aren't part of following a topic. Copies make
+/// The calls to the store that aren't part of following a topic. Copies make
 /// their calls through the same client.
 template<fleet_dialect Dialect>
 class store_calls
 {
 public:
-  /// Nothing when the store didn't answer, refused, or can't be understood.
+  /// Receives the records; empty when the store didn't answer, refused, or sent
+  /// an answer that can't be read.
   using newest_handler = std::function<void(std::optional<topic_page>)>;
-  /// The result as it came stands beside what it means.
+  /// Receives the result of the append, and the HTTP exchange that it was read
+  /// from.
   using append_handler =
     std::function<void(store_append_result, http_exchange_result const&)>;
 
@@ -44,7 +46,7 @@
       });
   }
 
-  /// Appends a record; with an offset, only where the topic ends there.
+  /// Appends a record; with an offset, only if the topic ends there.
   void Append(store_topic aTopic,
               std::optional<std::uint64_t> aAt,
               keyed_record const& aRecord,
--- a/Libraries/LibFleet/StoreFollower.h
+++ b/Libraries/LibFleet/StoreFollower.h
@@ -16,100 +16,104 @@
 
 namespace lycheeseam {
 
-/// Follows what operators and backend servers write: by own reads while no
-/// other instance reads for this one, else by what that one passes on.
+/// Follows the topics of operators and backend servers: by own reads while no
+/// other instance reads for this one, else by the records that the elected
+/// reader passes on.
 template<fleet_dialect Dialect>
-class store_watch
+class store_follower
 {
 public:
-  /// Hears of each page's records that are news; of none, the page says only
-  /// that the store answers.
-  using news_handler = std::function<
+  /// Receives the new records of each page. A page without any still shows that
+  /// the store answers.
+  using new_records_handler = std::function<
     void(store_topic, std::span<keyed_record const>, page_source)>;
-  /// Hears of records that this instance read, to pass them on.
+  /// Receives records that this instance read, to be passed on to peers.
   using relay_handler = std::function<void(topic_relay const&)>;
-  /// Hears that the store didn't answer for the servers.
+  /// Called when the store didn't answer a read of the servers.
   using failure_handler = std::function<void()>;
 
-  store_watch(http_client& aClient,
-              endpoint const& aStore,
-              news_handler aNewsHandler,
-              relay_handler aRelayHandler,
-              failure_handler aFailureHandler)
-    : mNewsHandler(std::move(aNewsHandler))
+  store_follower(http_client& aClient,
+                 endpoint const& aStore,
+                 new_records_handler aNewRecordsHandler,
+                 relay_handler aRelayHandler,
+                 failure_handler aFailureHandler)
+    : mNewRecordsHandler(std::move(aNewRecordsHandler))
     , mRelayHandler(std::move(aRelayHandler))
     , mFailureHandler(std::move(aFailureHandler))
-    , mOperators(MakeWatched(aClient, aStore, store_topic::Operators))
-    , mServers(MakeWatched(aClient, aStore, store_topic::Servers))
+    , mOperators(MakeFollowedTopic(aClient, aStore, store_topic::Operators))
+    , mServers(MakeFollowedTopic(aClient, aStore, store_topic::Servers))
   {
   }
-  store_watch(store_watch const&) = delete;
-  store_watch& operator=(store_watch const&) = delete;
+  store_follower(store_follower const&) = delete;
+  store_follower& operator=(store_follower const&) = delete;
 
-  /// Reads what is due.
+  /// Starts the reads that are due.
   void Tick(instant aNow, bool aHasReader)
   {
-    for (watched* const topic : { &mServers, &mOperators }) {
-      if (topic->mDuty.IsDue(aNow, aHasReader))
+    for (followed_topic* const topic : { &mServers, &mOperators }) {
+      if (topic->mElection.IsDue(aNow, aHasReader))
         Read(*topic);
     }
-    // Reads of the store may lag behind it while its history is dropped, so
-    // what they miss is made up for by reading all keys anew at times.
-    if (aNow < mRefreshDue)
+    // Reads of the store may lag behind it while it drops old records, and miss
+    // some. Reading the newest record of every key from time to time makes up
+    // for that.
+    if (aNow < mNextRefreshAt)
       return;
-    mRefreshDue = aNow + kRefreshInterval;
+    mNextRefreshAt = aNow + kRefreshInterval;
     mServers.mReader.Refresh();
     mOperators.mReader.Refresh();
   }
 
-  /// Takes what another instance read.
+  /// Applies records that another instance read.
   void OnRelay(topic_relay const& aRelay)
   {
     if (aRelay.mTopic == store_topic::Operators)
-      TakeRelay(aRelay, mOperators);
+      ApplyRelay(aRelay, mOperators);
     if (aRelay.mTopic == store_topic::Servers)
-      TakeRelay(aRelay, mServers);
+      ApplyRelay(aRelay, mServers);
   }
 
-  /// The offset behind the last of the operators' records that are known.
+  /// The offset after the last record of the operators that is known; 0 for
+  /// none.
   [[nodiscard]] std::uint64_t OperatorsEnd() const
   {
-    return mOperators.mReader.Next().value_or(0);
+    return mOperators.mReader.NextOffset().value_or(0);
   }
 
-  /// A peer tells how far it has the operators' records: what it passed on may
-  /// have been lost with a link.
+  /// A peer reports the offset after its last record of the operators. Records
+  /// that it passed on may have been lost when a link closed.
   void OnPeerEnd(instant aNow, std::uint64_t aEnd)
   {
-    mOperators.mDuty.OnPeerEnd(aNow, OperatorsEnd(), aEnd);
+    mOperators.mElection.OnPeerEnd(aNow, OperatorsEnd(), aEnd);
   }
 
-  /// True while this instance's own reads of both topics are answered.
+  /// True while the store answers this instance's own reads of both topics.
   [[nodiscard]] bool IsReading(instant aNow) const
   {
-    return mServers.mDuty.IsReading(aNow) && mOperators.mDuty.IsReading(aNow);
+    return mServers.mElection.IsReading(aNow) &&
+           mOperators.mElection.IsReading(aNow);
   }
 
-  /// True while its reads of the servers are.
+  /// True while the store answers this instance's own reads of the servers.
   [[nodiscard]] bool IsReadingServers(instant aNow) const
   {
-    return mServers.mDuty.IsReading(aNow);
+    return mServers.mElection.IsReading(aNow);
   }
 
 private:
-  struct watched
+  struct followed_topic
   {
     store_topic mTopic;
     topic_reader<Dialect> mReader;
-    store_duty mDuty{};
+    reader_election mElection{};
     topic_state mState{};
   };
 
   static constexpr std::chrono::milliseconds kRefreshInterval{ 3'000 };
 
-  watched MakeWatched(http_client& aClient,
-                      endpoint const& aStore,
-                      store_topic aTopic)
+  followed_topic MakeFollowedTopic(http_client& aClient,
+                                   endpoint const& aStore,
+                                   store_topic aTopic)
   {
     return { .mTopic = aTopic,
              .mReader = { aClient,
@@ -117,70 +121,70 @@
                           aTopic,
                           [this, aTopic](std::uint64_t aFrom,
                                          topic_page const& aPage,
-                                         bool aIsWhole) {
-                            OnPage(aTopic, aFrom, aPage, aIsWhole);
+                                         bool aIsFull) {
+                            OnPage(aTopic, aFrom, aPage, aIsFull);
                           } } };
   }
 
-  void Read(watched& aTopic)
+  void Read(followed_topic& aTopic)
   {
     if (aTopic.mReader.IsReading())
       return;
-    aTopic.mDuty.OnStart(mClock.Now());
+    aTopic.mElection.OnReadStart(mClock.Now());
     aTopic.mReader.Read([this, &aTopic](store_read_status aStatus) {
       bool const isAnswered = aStatus != store_read_status::Failed;
-      NoteStore(isAnswered);
-      aTopic.mDuty.OnRead(mClock.Now(), isAnswered);
+      UpdateStoreState(isAnswered);
+      aTopic.mElection.OnRead(mClock.Now(), isAnswered);
       if (aStatus == store_read_status::Expired)
-        aTopic.mDuty.ReadSoon();
+        aTopic.mElection.RequestRead();
       if (!isAnswered && &aTopic == &mServers)
         mFailureHandler();
     });
   }
 
-  void NoteStore(bool aAnswers)
+  void UpdateStoreState(bool aIsAnswering)
   {
-    if (std::exchange(mIsAnswering, aAnswers) != aAnswers)
-      LogEvent(aAnswers ? "store_back" : "store_lost", {});
+    if (std::exchange(mIsStoreAnswering, aIsAnswering) != aIsAnswering)
+      LogEvent(aIsAnswering ? "store_back" : "store_lost", {});
   }
 
   void OnPage(store_topic aTopic,
               std::uint64_t aFrom,
               topic_page const& aPage,
-              bool aIsWhole)
+              bool aIsFull)
   {
     if (mSource == page_source::Store && !aPage.mRecords.empty())
       mRelayHandler({ .mTopic = aTopic,
-                      .mIsWhole = aIsWhole,
+                      .mIsWhole = aIsFull,
                       .mFrom = aFrom,
                       .mEnd = aPage.mEnd,
                       .mRecords = aPage.mRecords });
     topic_state& state =
       aTopic == store_topic::Operators ? mOperators.mState : mServers.mState;
-    mNewsHandler(aTopic, state.Take(aPage, aIsWhole), mSource);
+    mNewRecordsHandler(aTopic, state.Take(aPage, aIsFull), mSource);
   }
 
-  void TakeRelay(topic_relay const& aRelay, watched& aTopic)
+  void ApplyRelay(topic_relay const& aRelay, followed_topic& aTopic)
   {
     topic_page const page{ .mRecords = aRelay.mRecords, .mEnd = aRelay.mEnd };
     mSource = page_source::Peer;
     if (aRelay.mIsWhole)
-      aTopic.mReader.TakeWhole(page);
-    else if (!aTopic.mReader.Take(aRelay.mFrom, page))
-      aTopic.mDuty.ReadSoon();
+      aTopic.mReader.ApplyFullPage(page);
+    else if (!aTopic.mReader.ApplyPage(aRelay.mFrom, page))
+      aTopic.mElection.RequestRead();
     mSource = page_source::Store;
   }
 
-  news_handler mNewsHandler;
+  new_records_handler mNewRecordsHandler;
   relay_handler mRelayHandler;
   failure_handler mFailureHandler;
   system_clock mClock;
-  /// Of the page that is being taken.
+  /// The source of the page that is being applied.
   page_source mSource = page_source::Store;
-  watched mOperators;
-  watched mServers;
-  instant mRefreshDue{};
-  bool mIsAnswering = true;
+  followed_topic mOperators;
+  followed_topic mServers;
+  instant mNextRefreshAt{};
+  bool mIsStoreAnswering = true;
 };
 
 }
--- a/Libraries/LibFleet/TopicReader.h
+++ b/Libraries/LibFleet/TopicReader.h
@@ -14,16 +14,17 @@
 
 namespace lycheeseam {
 
-/// Follows a keyed topic of the store: first the newest record of each key,
-/// then all records behind them. One read at a time, on the control thread.
+/// Follows a keyed topic of the store: first reads the newest record of each
+/// key, then all records after them. Runs one read at a time, on the control
+/// thread.
 template<fleet_dialect Dialect>
 class topic_reader
 {
 public:
-  /// aIsWhole is true when the records are all that the topic holds now, so
-  /// that keys that aren't among them are gone.
+  /// aIsFull is true when the records are all that the topic holds now, so that
+  /// keys that are missing among them have been dropped.
   using record_handler = std::function<
-    void(std::uint64_t aFrom, topic_page const& aPage, bool aIsWhole)>;
+    void(std::uint64_t aFrom, topic_page const& aPage, bool aIsFull)>;
   using end_handler = std::function<void(store_read_status)>;
 
   topic_reader(http_client& aClient,
@@ -37,52 +38,54 @@
   {
   }
 
-  /// Lets the next read be of the newest record of each key.
-  void Refresh() { mWantsWhole = true; }
+  /// Makes the next read return the newest record of each key.
+  void Refresh() { mIsFullReadDue = true; }
 
-  /// Reads what has come since the last read; aDone hears of its end.
+  /// Reads the records that were appended since the last read; aDone receives
+  /// how the read ended. Does nothing while a read runs.
   void Read(end_handler aDone)
   {
     if (std::exchange(mIsReading, true))
       return;
     mDone = std::move(aDone);
-    if (mNext && !std::exchange(mWantsWhole, false))
+    if (mNextOffset && !std::exchange(mIsFullReadDue, false))
       return ReadRecords();
-    mWhole = {};
+    mFullPage = {};
     ReadNewest({});
   }
 
   [[nodiscard]] bool IsReading() const noexcept { return mIsReading; }
 
-  /// The offset of the next record that hasn't been read; nothing before the
-  /// first read.
-  [[nodiscard]] std::optional<std::uint64_t> Next() const noexcept
+  /// The offset of the next record to read; empty when the newest record of
+  /// each key must be read first.
+  [[nodiscard]] std::optional<std::uint64_t> NextOffset() const noexcept
   {
-    return mNext;
+    return mNextOffset;
   }
 
-  /// Takes the newest records that another instance read.
-  void TakeWhole(topic_page const& aPage)
+  /// Applies the newest record of each key, which another instance read.
+  void ApplyFullPage(topic_page const& aPage)
   {
-    mNext = std::max(mNext.value_or(0), aPage.mEnd);
+    mNextOffset = std::max(mNextOffset.value_or(0), aPage.mEnd);
     mHandler(0, aPage, true);
   }
 
-  /// Takes a page that another instance read; false when it leaves a gap.
-  bool Take(std::uint64_t aFrom, topic_page const& aPage)
+  /// Applies a page that another instance read; false when records are missing
+  /// before it.
+  bool ApplyPage(std::uint64_t aFrom, topic_page const& aPage)
   {
-    if (!mNext || aFrom > *mNext)
+    if (!mNextOffset || aFrom > *mNextOffset)
       return false;
-    if (aPage.mEnd <= *mNext)
+    if (aPage.mEnd <= *mNextOffset)
       return true;
-    mNext = aPage.mEnd;
+    mNextOffset = aPage.mEnd;
     mHandler(aFrom, aPage, false);
     return true;
   }
 
 private:
-  // A healthy store answers in a few milliseconds, a slow one in some
-  // hundreds; beyond this a new connection is the better try.
+  // A healthy store answers in a few milliseconds, a slow one in some hundreds;
+  // after a longer wait a new connection is more likely to succeed.
   static constexpr std::chrono::milliseconds kReadTimeout{ 1'500 };
 
   void ReadNewest(std::string_view aAfter)
@@ -101,33 +104,33 @@
     } catch (invalid_input const&) {
       return End(store_read_status::Failed);
     }
-    // Pages are no snapshot: what changes between them is read again from the
-    // first page's end on.
-    if (!mFirstEnd)
-      mFirstEnd = page.mEnd;
+    // The pages aren't read at one point in time: records that are appended
+    // meanwhile are read again from the end of the first page on.
+    if (!mFirstPageEnd)
+      mFirstPageEnd = page.mEnd;
     for (keyed_record& record : page.mRecords)
-      mWhole.mRecords.push_back(std::move(record));
-    if (page.mHasMore && !mWhole.mRecords.empty())
-      return ReadNewest(mWhole.mRecords.back().mKey);
-    // What came from others meanwhile isn't read again.
-    mWhole.mEnd = *mFirstEnd;
-    mNext = std::max(mNext.value_or(0), *mFirstEnd);
-    mFirstEnd.reset();
-    mHandler(0, mWhole, true);
+      mFullPage.mRecords.push_back(std::move(record));
+    if (page.mHasMore && !mFullPage.mRecords.empty())
+      return ReadNewest(mFullPage.mRecords.back().mKey);
+    // Records that other instances passed on meanwhile aren't read again.
+    mFullPage.mEnd = *mFirstPageEnd;
+    mNextOffset = std::max(mNextOffset.value_or(0), *mFirstPageEnd);
+    mFirstPageEnd.reset();
+    mHandler(0, mFullPage, true);
     End(store_read_status::Done);
   }
 
   void ReadRecords()
   {
-    mReadFrom = *mNext;
-    Call(Dialect::RecordsRequest(mTopic, *mNext),
+    mReadFrom = *mNextOffset;
+    Call(Dialect::RecordsRequest(mTopic, *mNextOffset),
          [this](http_exchange_result const& aResult) { OnRecords(aResult); });
   }
 
   void OnRecords(http_exchange_result const& aResult)
   {
     if (aResult.mHead.mStatus == kHttpGone) {
-      mNext.reset();
+      mNextOffset.reset();
       return End(store_read_status::Expired);
     }
     if (aResult.mHead.mStatus != kHttpOk)
@@ -136,15 +139,15 @@
     try {
       page = Dialect::ReadRecords(aResult.mBody, mReadFrom);
     } catch (invalid_input const&) {
-      mNext.reset();
+      mNextOffset.reset();
       return End(store_read_status::Failed);
     }
     // Another instance may have passed on records while this read ran.
     std::uint64_t const from = mReadFrom;
     std::uint64_t const next = from + page.mRecords.size();
     page.mEnd = next;
-    if (next > *mNext) {
-      mNext = next;
+    if (next > *mNextOffset) {
+      mNextOffset = next;
       mHandler(from, page, false);
     } else if (page.mRecords.empty()) {
       mHandler(from, page, false);
@@ -165,7 +168,7 @@
   void End(store_read_status aStatus)
   {
     mIsReading = false;
-    mFirstEnd.reset();
+    mFirstPageEnd.reset();
     end_handler const done = std::exchange(mDone, nullptr);
     done(aStatus);
   }
@@ -175,11 +178,11 @@
   store_topic mTopic;
   record_handler mHandler;
   end_handler mDone;
-  topic_page mWhole;
-  std::optional<std::uint64_t> mFirstEnd;
-  std::optional<std::uint64_t> mNext;
+  topic_page mFullPage;
+  std::optional<std::uint64_t> mFirstPageEnd;
+  std::optional<std::uint64_t> mNextOffset;
   std::uint64_t mReadFrom = 0;
-  bool mWantsWhole = false;
+  bool mIsFullReadDue = false;
   bool mIsReading = false;
 };
 
--- a/Libraries/LibFleet/WeightsOrder.h
+++ b/Libraries/LibFleet/WeightsOrder.h
@@ -7,8 +7,8 @@
 
 namespace lycheeseam {
 
-/// Tells an engine to load a version of a model's weights at once; its runs
-/// continue under the new weights.
+/// An order to an engine to load a version of a model's weights at once; its
+/// runs continue under the new weights.
 struct weights_order
 {
   backend_server_id mServer;
@@ -17,8 +17,8 @@
   std::uint64_t mVersion = 0;
   instance_id mHolder;
   std::uint64_t mFence = 0;
-  /// The orders that the engine must have accepted so far, so that a late
-  /// order can't undo a newer one.
+  /// The number of orders that the engine must have accepted so far, so that a
+  /// late order can't undo a newer one.
   std::uint64_t mExpectedOrders = 0;
 };
 
--- a/Tests/LibFleet/SimulatedFleet.h
+++ b/Tests/LibFleet/SimulatedFleet.h
@@ -13,30 +13,30 @@
 
 namespace lycheeseam {
 
-/// Instances that exchange reports over links of their own making, in virtual
-/// time. A message arrives one step after it was sent.
+/// Instances that choose their own links and exchange reports over them, in
+/// virtual time. A message arrives one step after it was sent.
 class simulated_fleet
 {
 public:
   static constexpr std::chrono::milliseconds kStep{ 50 };
-  static constexpr int kStepsAReport = 3;
+  static constexpr int kStepsPerReport = 3;
 
   struct member
   {
     explicit member(peer_hello aHello)
       : mHello(std::move(aHello))
-      , mBook(mHello.mIdentity.mInstance)
+      , mRegistry(mHello.mIdentity.mInstance)
     {
     }
 
     peer_hello mHello;
-    peer_book mBook;
+    peer_registry mRegistry;
     std::unique_ptr<report_exchange> mExchange;
     std::set<instance_id> mWanted;
-    double mSpent = 0;
+    double mUsage = 0;
     std::uint64_t mLease = 0;
-    std::vector<report_news> mOwnNews;
-    std::vector<std::uint64_t> mCrashesHeard;
+    std::vector<report_update> mOwnUpdates;
+    std::vector<std::uint64_t> mReceivedCrashes;
     std::vector<topic_relay> mRelays;
   };
 
@@ -48,12 +48,12 @@
       Register(*added);
   }
 
-  /// Adds a member that the others hear of, and that hears of them.
+  /// Adds a member; it and the others learn of each other from the store.
   void Join(int aIndex)
   {
     Register(Add(aIndex));
     for (auto& [id, known] : mMembers)
-      known->mExchange->OnInstances();
+      known->mExchange->OnInstancesChanged();
   }
 
   void Kill(instance_id const& aId)
@@ -62,8 +62,8 @@
     instance_identity const identity = mMembers.at(aId)->mHello.mIdentity;
     for (instance_id const& peer : peers) {
       mLinks.erase(Link(aId, peer));
-      mMembers.at(peer)->mBook.OnDown(mNow, identity);
-      mMembers.at(peer)->mExchange->OnInstances();
+      mMembers.at(peer)->mRegistry.OnDown(mNow, identity);
+      mMembers.at(peer)->mExchange->OnInstancesChanged();
     }
     mMembers.erase(aId);
   }
@@ -131,7 +131,7 @@
     instance_id const id = Name(aIndex);
     made->mExchange = std::make_unique<report_exchange>(
       made->mHello,
-      made->mBook,
+      made->mRegistry,
       [this, id](std::span<instance_id const> aPeers,
                  fleet_message const& aMessage) {
         for (instance_id const& peer : aPeers)
@@ -150,8 +150,8 @@
   void Register(member& aMember)
   {
     for (auto& [id, other] : mMembers) {
-      aMember.mBook.OnRegistered(mNow, other->mHello);
-      other->mBook.OnRegistered(mNow, aMember.mHello);
+      aMember.mRegistry.OnRegistered(mNow, other->mHello);
+      other->mRegistry.OnRegistered(mNow, aMember.mHello);
     }
   }
 
@@ -159,10 +159,10 @@
   {
     if (mLinks.erase(Link(aFirst, aSecond)) == 0)
       return;
-    mMembers.at(aFirst)->mBook.OnDown(mNow,
-                                      mMembers.at(aSecond)->mHello.mIdentity);
-    mMembers.at(aSecond)->mBook.OnDown(mNow,
-                                       mMembers.at(aFirst)->mHello.mIdentity);
+    mMembers.at(aFirst)->mRegistry.OnDown(
+      mNow, mMembers.at(aSecond)->mHello.mIdentity);
+    mMembers.at(aSecond)->mRegistry.OnDown(
+      mNow, mMembers.at(aFirst)->mHello.mIdentity);
   }
 
   void Open()
@@ -171,10 +171,10 @@
       for (instance_id const& peer : dialler->mWanted) {
         if (!mMembers.contains(peer) || !mLinks.insert(Link(id, peer)).second)
           continue;
-        dialler->mBook.OnUp(mNow, mMembers.at(peer)->mHello);
-        mMembers.at(peer)->mBook.OnUp(mNow, dialler->mHello);
-        dialler->mExchange->OnInstances();
-        mMembers.at(peer)->mExchange->OnInstances();
+        dialler->mRegistry.OnUp(mNow, mMembers.at(peer)->mHello);
+        mMembers.at(peer)->mRegistry.OnUp(mNow, dialler->mHello);
+        dialler->mExchange->OnInstancesChanged();
+        mMembers.at(peer)->mExchange->OnInstancesChanged();
       }
     }
   }
@@ -189,11 +189,11 @@
     for (auto const& [id, any] : mMembers)
       ids.push_back(id);
     for (instance_id const& id : ids) {
-      mMembers.at(id)->mBook.Prune(mNow);
+      mMembers.at(id)->mRegistry.Prune(mNow);
       mMembers.at(id)->mExchange->Tick(mNow);
     }
     Open();
-    if (++mSteps % kStepsAReport == 0) {
+    if (++mSteps % kStepsPerReport == 0) {
       for (instance_id const& id : ids)
         Report(*mMembers.at(id));
     }
@@ -201,12 +201,12 @@
 
   void Report(member& aMember)
   {
-    for (report_news& news : std::exchange(aMember.mOwnNews, {}))
-      aMember.mExchange->Add(std::move(news));
+    for (report_update& update : std::exchange(aMember.mOwnUpdates, {}))
+      aMember.mExchange->Add(std::move(update));
     aMember.mExchange->Report(
       mNow,
       { .mLease = aMember.mLease,
-        .mSpent = { { workspace_id{ "w" }, aMember.mSpent } } },
+        .mSpent = { { workspace_id{ "w" }, aMember.mUsage } } },
       true,
       false);
   }
@@ -217,8 +217,8 @@
       mMembers.at(aMessage.mFrom)->mHello.mIdentity;
     if (auto const* const roster =
           std::get_if<fleet_roster>(&aMessage.mContent)) {
-      if (aTo.mBook.OnRoster(mNow, from, *roster))
-        aTo.mExchange->OnInstances();
+      if (aTo.mRegistry.OnRoster(mNow, from, *roster))
+        aTo.mExchange->OnInstancesChanged();
       return;
     }
     if (auto const* const relay =
@@ -227,11 +227,11 @@
       return aTo.mExchange->Relay(mNow, *relay, aMessage.mFrom);
     }
     fleet_report const& report = std::get<fleet_report>(aMessage.mContent);
-    if (!aTo.mExchange->IsTaken(aMessage.mFrom, report.mScope))
+    if (!aTo.mExchange->IsAccepted(aMessage.mFrom, report.mScope))
       return;
-    aTo.mBook.OnReport(mNow, from, report);
+    aTo.mRegistry.OnReport(mNow, from, report);
     for (crash_count const& crash : report.mCrashes)
-      aTo.mCrashesHeard.push_back(crash.mFingerprint);
+      aTo.mReceivedCrashes.push_back(crash.mFingerprint);
     aTo.mExchange->Add({ .mFrom = aMessage.mFrom,
                          .mIsOfBranch = report.mScope == report_scope::Branch,
                          .mCrashes = report.mCrashes });
--- a/Tests/LibFleet/TestFleetMetrics.cpp
+++ b/Tests/LibFleet/TestFleetMetrics.cpp
@@ -20,12 +20,12 @@
 }
 
 bool
-Holds(std::string const& aPage, std::string const& aLine)
+Contains(std::string const& aPage, std::string const& aLine)
 {
   return aPage.find("\n" + aLine + "\n") != std::string::npos;
 }
 
-TEST(TestFleetMetrics, ServesWhatBothThreadsRecorded)
+TEST(TestFleetMetrics, ServesTheCountersOfBothThreads)
 {
   fleet_metrics metrics;
   metrics_recorder traffic;
@@ -34,8 +34,8 @@
   metrics.Recorder().Count(
     metrics.Recorder().OpenCounter({ .mMetric = "calls_total" }));
   std::string const page = Page(metrics);
-  EXPECT_TRUE(Holds(page, "lycheeseam_sends_total 3")) << page;
-  EXPECT_TRUE(Holds(page, "lycheeseam_calls_total 1")) << page;
+  EXPECT_TRUE(Contains(page, "lycheeseam_sends_total 3")) << page;
+  EXPECT_TRUE(Contains(page, "lycheeseam_calls_total 1")) << page;
 }
 
 TEST(TestFleetMetrics, CountsEventsThatWereNotWritten)
@@ -43,11 +43,11 @@
   fleet_metrics metrics;
   LogEvent("metrics_test", {});
   LogEvent("metrics_test", {});
-  EXPECT_TRUE(
-    Holds(Page(metrics), "lycheeseam_events_total{event=\"metrics_test\"} 2"));
+  EXPECT_TRUE(Contains(Page(metrics),
+                       "lycheeseam_events_total{event=\"metrics_test\"} 2"));
 }
 
-TEST(TestFleetMetrics, TellsWhatTheInstanceBelieves)
+TEST(TestFleetMetrics, ShowsTheFleetViewAndTheOrderLease)
 {
   fleet_metrics metrics;
   fleet_view view{ .mInstances = 4, .mUnresponsiveInstances = 1 };
@@ -61,10 +61,10 @@
   metrics.Tick(start, view, 12);
   metrics.Tick(start + seconds{ 2 }, view, 12);
   std::string const page = Page(metrics);
-  EXPECT_TRUE(Holds(page, "lycheeseam_config_version 7")) << page;
-  EXPECT_TRUE(Holds(page, "lycheeseam_config_age_seconds 2")) << page;
-  EXPECT_TRUE(Holds(page, "lycheeseam_instances_silent 1")) << page;
-  EXPECT_TRUE(Holds(page, "lycheeseam_order_lease 12")) << page;
+  EXPECT_TRUE(Contains(page, "lycheeseam_config_version 7")) << page;
+  EXPECT_TRUE(Contains(page, "lycheeseam_config_age_seconds 2")) << page;
+  EXPECT_TRUE(Contains(page, "lycheeseam_instances_silent 1")) << page;
+  EXPECT_TRUE(Contains(page, "lycheeseam_order_lease 12")) << page;
 }
 
 TEST(TestFleetMetrics, AnswersOverHttp)
@@ -92,7 +92,7 @@
   EXPECT_TRUE(answer.starts_with("HTTP/1.1 200 OK\r\n")) << answer;
 }
 
-TEST(TestFleetMetrics, ServesNothingElse)
+TEST(TestFleetMetrics, AnswersOtherRequestsWithNotFound)
 {
   fleet_metrics metrics;
   EXPECT_EQ(metrics.Answer({ .mMethod = "GET", .mTarget = "/" }).mHead.mStatus,
--- a/Tests/LibFleet/TestOperatorState.cpp
+++ b/Tests/LibFleet/TestOperatorState.cpp
@@ -19,24 +19,24 @@
     caller_limits{});
 }
 
-TEST(TestOperatorState, ConfigurationsNeverGoBack)
+TEST(TestOperatorState, OlderConfigurationsAreIgnored)
 {
   operator_state state;
-  EXPECT_TRUE(state.Take(Config(5)));
-  EXPECT_FALSE(state.Take(Config(5)));
-  EXPECT_FALSE(state.Take(Config(3)));
+  EXPECT_TRUE(state.Apply(Config(5)));
+  EXPECT_FALSE(state.Apply(Config(5)));
+  EXPECT_FALSE(state.Apply(Config(3)));
   EXPECT_EQ(state.Config()->Version(), 5U);
-  EXPECT_TRUE(state.Take(Config(9)));
+  EXPECT_TRUE(state.Apply(Config(9)));
 }
 
-TEST(TestOperatorState, WeightsKnowSinceWhenTheyAreReplaced)
+TEST(TestOperatorState, WeightsKeepTheTimeOfTheirReplacement)
 {
   operator_state state;
   model_name const model{ "m" };
-  EXPECT_TRUE(state.Take(kNow, { .mModel = model, .mVersion = 2 }));
-  EXPECT_TRUE(state.Take(kNow + std::chrono::seconds{ 3 },
-                         { .mModel = model, .mVersion = 4 }));
-  EXPECT_FALSE(state.Take(kNow, { .mModel = model, .mVersion = 3 }));
+  EXPECT_TRUE(state.Apply(kNow, { .mModel = model, .mVersion = 2 }));
+  EXPECT_TRUE(state.Apply(kNow + std::chrono::seconds{ 3 },
+                          { .mModel = model, .mVersion = 4 }));
+  EXPECT_FALSE(state.Apply(kNow, { .mModel = model, .mVersion = 3 }));
   target_weights const& weights = state.Weights()[0];
   EXPECT_EQ(weights.Newest(), 4U);
   EXPECT_EQ(weights.ReplacedSince(1), kNow);
--- a/Tests/LibFleet/TestOrderLease.cpp
+++ b/Tests/LibFleet/TestOrderLease.cpp
@@ -14,7 +14,7 @@
 instance_id const kSelf{ "a" };
 instance_id const kOther{ "b" };
 
-// The first lease of all, taken now.
+// A lease that was acquired at kNow on an empty topic.
 order_lease
 HeldLease()
 {
@@ -25,40 +25,41 @@
   return lease;
 }
 
-TEST(TestOrderLease, TheFirstHolderOrdersAtOnce)
+TEST(TestOrderLease, FirstHolderMayOrderAtOnce)
 {
   order_lease lease{ kSelf, kTerm };
-  EXPECT_FALSE(lease.AppendAt());
+  EXPECT_FALSE(lease.AppendOffset());
   lease.OnRead(kNow, std::nullopt, 0);
-  EXPECT_EQ(lease.AppendAt(), 0U);
+  EXPECT_EQ(lease.AppendOffset(), 0U);
   lease.OnSend(kNow);
-  EXPECT_FALSE(lease.MayOrder(kNow));
+  EXPECT_FALSE(lease.FencingNumber(kNow));
   lease.OnAppended(0);
-  EXPECT_EQ(lease.MayOrder(kNow), 0U);
+  EXPECT_EQ(lease.FencingNumber(kNow), 0U);
 }
 
-TEST(TestOrderLease, ALeaseEndsBeforeItsTerm)
+TEST(TestOrderLease, OrdersStopAMarginBeforeTheTermEnds)
 {
   order_lease lease = HeldLease();
-  EXPECT_TRUE(lease.MayOrder(kNow + seconds{ 2 }));
-  EXPECT_FALSE(lease.MayOrder(kNow + kTerm - milliseconds{ 300 }));
+  EXPECT_TRUE(lease.FencingNumber(kNow + seconds{ 2 }));
+  EXPECT_FALSE(lease.FencingNumber(kNow + kTerm - milliseconds{ 300 }));
   EXPECT_TRUE(lease.IsRenewalDue(kNow + seconds{ 2 }));
 }
 
-TEST(TestOrderLease, ASuccessorWaitsAsLongAsTheOldLeaseMayCount)
+TEST(TestOrderLease, SuccessorWaitsForTheTermOfTheOldLease)
 {
   order_lease lease{ kSelf, kTerm };
   lease.OnRead(kNow, lease_record{ .mOffset = 4, .mHolder = kOther }, 5);
   lease.OnSend(kNow);
   lease.OnAppended(5);
-  EXPECT_FALSE(lease.MayOrder(kNow + seconds{ 2 }));
+  EXPECT_FALSE(lease.FencingNumber(kNow + seconds{ 2 }));
   lease.OnSend(kNow + seconds{ 2 });
   lease.OnAppended(6);
-  EXPECT_EQ(lease.MayOrder(kNow + kTerm), 6U);
+  EXPECT_EQ(lease.FencingNumber(kNow + kTerm), 6U);
 }
 
-// Found on trouble-3: a successor of an idle holder waited for nothing.
-TEST(TestOrderLease, AnIdleHolderIsSucceededAtOnce)
+// A successor of an idle holder waited although the old term was over; found on
+// trouble-3.
+TEST(TestOrderLease, SuccessorOfAnIdleHolderMayOrderAtOnce)
 {
   order_lease lease{ kSelf, kTerm };
   lease.OnPeerLease(kNow, 4);
@@ -66,29 +67,29 @@
   lease.OnRead(later, lease_record{ .mOffset = 4, .mHolder = kOther }, 5);
   lease.OnSend(later);
   lease.OnAppended(5);
-  EXPECT_EQ(lease.MayOrder(later), 5U);
+  EXPECT_EQ(lease.FencingNumber(later), 5U);
 }
 
-TEST(TestOrderLease, ANewerLeaseOfAPeerEndsThisOne)
+TEST(TestOrderLease, NewerLeaseOfAPeerEndsTheHeldLease)
 {
   order_lease lease = HeldLease();
   lease.OnPeerLease(kNow, 3);
   EXPECT_FALSE(lease.IsHeld());
-  EXPECT_FALSE(lease.AppendAt());
+  EXPECT_FALSE(lease.AppendOffset());
 }
 
-TEST(TestOrderLease, AnAppendOfUnknownFateNeedsARead)
+TEST(TestOrderLease, AppendOfUnknownOutcomeRequiresARead)
 {
   order_lease lease{ kSelf, kTerm };
   lease.OnRead(kNow, std::nullopt, 0);
   lease.OnSend(kNow);
-  lease.OnUncertain();
+  lease.Invalidate();
   EXPECT_FALSE(lease.IsHeld());
-  // The record stood after all.
+  // The record had been appended after all.
   lease.OnRead(kNow, lease_record{ .mOffset = 0, .mHolder = kSelf }, 1);
   lease.OnSend(kNow);
   lease.OnAppended(1);
-  EXPECT_EQ(lease.MayOrder(kNow), 1U);
+  EXPECT_EQ(lease.FencingNumber(kNow), 1U);
 }
 
 }
--- a/Tests/LibFleet/TestReportExchange.cpp
+++ b/Tests/LibFleet/TestReportExchange.cpp
@@ -11,11 +11,11 @@
 constexpr seconds kSettled{ 8 };
 
 double
-SpentElsewhere(simulated_fleet::member const& aMember)
+UsageOfOthers(simulated_fleet::member const& aMember)
 {
   double sum = 0;
-  for (workspace_usage const& spent : aMember.mBook.Spending().Spent())
-    sum += spent.mUnits;
+  for (workspace_usage const& usage : aMember.mRegistry.Usage().Total())
+    sum += usage.mUnits;
   return sum;
 }
 
@@ -25,43 +25,43 @@
   simulated_fleet mFleet{ GetParam() };
 };
 
-TEST_P(TestReportExchange, EveryoneHearsOfEveryone)
+TEST_P(TestReportExchange, EveryInstanceKnowsAllOthers)
 {
   mFleet.Run(kSettled);
   std::size_t const others = mFleet.Members().size() - 1;
   for (auto const& [id, member] : mFleet.Members()) {
-    EXPECT_EQ(member->mBook.Entries().size(), others) << id.Text();
-    EXPECT_EQ(member->mBook.Silent(mFleet.Now()), 0u) << id.Text();
+    EXPECT_EQ(member->mRegistry.Entries().size(), others) << id.Text();
+    EXPECT_EQ(member->mRegistry.Unresponsive(mFleet.Now()), 0u) << id.Text();
   }
 }
 
-TEST_P(TestReportExchange, WhatOneAdmitsIsCountedOnceByAllOthers)
+TEST_P(TestReportExchange, UsageIsCountedOnceByEachOtherInstance)
 {
   mFleet.Run(kSettled);
   std::map<instance_id, double> before;
   for (auto const& [id, member] : mFleet.Members())
-    before[id] = SpentElsewhere(*member);
+    before[id] = UsageOfOthers(*member);
   double total = 0;
   for (auto const& [id, member] : mFleet.Members())
-    total += member->mSpent = 10;
+    total += member->mUsage = 10;
   mFleet.Run(seconds{ 2 });
   for (auto const& [id, member] : mFleet.Members())
-    EXPECT_EQ(SpentElsewhere(*member) - before[id], total - 10) << id.Text();
+    EXPECT_EQ(UsageOfOthers(*member) - before[id], total - 10) << id.Text();
 }
 
-TEST_P(TestReportExchange, NewsReachesEveryoneOnce)
+TEST_P(TestReportExchange, UpdatesReachEachInstanceOnce)
 {
   mFleet.Run(kSettled);
   for (auto const& [id, member] : mFleet.Members())
-    member->mOwnNews.push_back(
+    member->mOwnUpdates.push_back(
       { .mCrashes = { { .mFingerprint = 7, .mCount = 1 } } });
   mFleet.Run(seconds{ 2 });
   for (auto const& [id, member] : mFleet.Members())
-    EXPECT_EQ(member->mCrashesHeard.size(), mFleet.Members().size() - 1)
+    EXPECT_EQ(member->mReceivedCrashes.size(), mFleet.Members().size() - 1)
       << id.Text();
 }
 
-TEST_P(TestReportExchange, RecordsReachEveryoneOnce)
+TEST_P(TestReportExchange, RelayedRecordsReachEachInstanceOnce)
 {
   mFleet.Run(kSettled);
   simulated_fleet::member& reader = mFleet.Member(GetParam() - 1);
@@ -79,16 +79,16 @@
   mFleet.Run(seconds{ 1 });
   for (auto const& [id, member] : mFleet.Members()) {
     bool const isHolder = member->mLease != 0;
-    EXPECT_EQ(member->mBook.NewestLease(mFleet.Now()), isHolder ? 0u : 9u)
+    EXPECT_EQ(member->mRegistry.NewestLease(mFleet.Now()), isHolder ? 0u : 9u)
       << id.Text();
   }
 }
 
-// Killed one after the other, each the one with the most links.
-TEST_P(TestReportExchange, LostRootsAreReplaced)
+// Kills the instance with the most links, up to three times.
+TEST_P(TestReportExchange, FailedRootsAreReplaced)
 {
   mFleet.Run(kSettled);
-  for (int lost = 0; lost < 3 && mFleet.Members().size() > 1; ++lost) {
+  for (int killed = 0; killed < 3 && mFleet.Members().size() > 1; ++killed) {
     instance_id busiest;
     for (auto const& [id, member] : mFleet.Members()) {
       if (busiest.IsEmpty() ||
@@ -99,11 +99,11 @@
     mFleet.Run(seconds{ 3 });
     std::size_t const others = mFleet.Members().size() - 1;
     for (auto const& [id, member] : mFleet.Members())
-      EXPECT_EQ(member->mBook.Entries().size(), others) << id.Text();
+      EXPECT_EQ(member->mRegistry.Entries().size(), others) << id.Text();
   }
 }
 
-TEST_P(TestReportExchange, InstancesThatJoinAreHeardOf)
+TEST_P(TestReportExchange, JoiningInstancesBecomeKnownToAll)
 {
   mFleet.Run(kSettled);
   for (int added = 0; added < 6; ++added)
@@ -111,17 +111,17 @@
   mFleet.Run(kSettled);
   std::size_t const others = mFleet.Members().size() - 1;
   for (auto const& [id, member] : mFleet.Members())
-    EXPECT_EQ(member->mBook.Entries().size(), others) << id.Text();
+    EXPECT_EQ(member->mRegistry.Entries().size(), others) << id.Text();
 }
 
-TEST_P(TestReportExchange, LinksWithoutUseAreClosed)
+TEST_P(TestReportExchange, UnusedLinksAreClosed)
 {
   mFleet.Run(seconds{ 20 });
   std::size_t most = 0;
   for (auto const& [id, member] : mFleet.Members())
     most = std::max(most, mFleet.Peers(id).size());
   std::size_t const count = mFleet.Members().size();
-  bool const areAllRoots = count <= report_layout::kMostRootsOnly;
+  bool const areAllRoots = count <= report_topology::kMaxInstancesAllRoots;
   EXPECT_LE(most * most, areAllRoots ? (count - 1) * (count - 1) : 14 * count);
 }
 
--- a/Tests/LibFleet/TestReportTopology.cpp
+++ b/Tests/LibFleet/TestReportTopology.cpp
@@ -27,44 +27,44 @@
   return fleet;
 }
 
-report_layout
-LayoutOf(std::vector<peer_hello> const& aFleet,
-         std::size_t aIndex,
-         std::optional<instance_id> const& aParent = {})
+report_topology
+TopologyOf(std::vector<peer_hello> const& aFleet,
+           std::size_t aIndex,
+           std::optional<instance_id> const& aParent = {})
 {
   std::vector<peer_hello> others = aFleet;
   others.erase(others.begin() + static_cast<std::ptrdiff_t>(aIndex));
-  return LayOutReports(aFleet[aIndex], others, aParent);
+  return ComputeReportTopology(aFleet[aIndex], others, aParent);
 }
 
-// Of all instances, by their names.
-std::map<instance_id, report_layout>
-Layouts(std::vector<peer_hello> const& aFleet)
+// The topologies of all instances, by their ids.
+std::map<instance_id, report_topology>
+Topologies(std::vector<peer_hello> const& aFleet)
 {
-  std::map<instance_id, report_layout> layouts;
+  std::map<instance_id, report_topology> topologies;
   for (std::size_t index = 0; index < aFleet.size(); ++index)
-    layouts[aFleet[index].mIdentity.mInstance] = LayoutOf(aFleet, index);
-  return layouts;
+    topologies[aFleet[index].mIdentity.mInstance] = TopologyOf(aFleet, index);
+  return topologies;
 }
 
-TEST(TestReportLayout, FewInstancesAreAllRoots)
+TEST(TestReportTopology, FewInstancesAreAllRoots)
 {
-  for (auto const& [id, layout] : Layouts(Fleet(12, 3))) {
-    EXPECT_FALSE(layout.mParent);
-    EXPECT_EQ(layout.mContacts.size(), 11u);
+  for (auto const& [id, topology] : Topologies(Fleet(12, 3))) {
+    EXPECT_FALSE(topology.mParent);
+    EXPECT_EQ(topology.mContacts.size(), 11u);
   }
 }
 
-TEST(TestReportLayout, EveryChildsParentIsARootOfItsDomain)
+TEST(TestReportTopology, ParentIsARootOfTheSameFailureDomain)
 {
   std::vector<peer_hello> const fleet = Fleet(84, 4);
-  std::map<instance_id, report_layout> layouts = Layouts(fleet);
+  std::map<instance_id, report_topology> topologies = Topologies(fleet);
   for (peer_hello const& self : fleet) {
     std::optional<instance_id> const parent =
-      layouts[self.mIdentity.mInstance].mParent;
+      topologies[self.mIdentity.mInstance].mParent;
     if (!parent)
       continue;
-    EXPECT_FALSE(layouts[*parent].mParent);
+    EXPECT_FALSE(topologies[*parent].mParent);
     auto const found =
       std::find_if(fleet.begin(), fleet.end(), [&](peer_hello const& aOther) {
         return aOther.mIdentity.mInstance == parent;
@@ -73,46 +73,46 @@
   }
 }
 
-TEST(TestReportLayout, RootsKnowEachOtherAndTheLargestAreRoots)
+TEST(TestReportTopology, RootsAreContactsAndIncludeTheLargestInstances)
 {
   std::vector<peer_hello> const fleet = Fleet(84, 4);
   std::set<instance_id> roots;
-  for (auto const& [id, layout] : Layouts(fleet)) {
-    if (!layout.mParent)
+  for (auto const& [id, topology] : Topologies(fleet)) {
+    if (!topology.mParent)
       roots.insert(id);
   }
   for (int index = 0; index < 4; ++index)
     EXPECT_TRUE(roots.contains(fleet[index].mIdentity.mInstance));
   for (instance_id const& root : roots) {
     std::set<instance_id> contacts{ root };
-    for (peer_contact const& contact : Layouts(fleet)[root].mContacts)
+    for (peer_contact const& contact : Topologies(fleet)[root].mContacts)
       contacts.insert(contact.mInstance);
     EXPECT_EQ(contacts, roots);
   }
 }
 
-// Links of the busiest instance must grow far slower than the fleet.
-TEST(TestReportLayout, LinksGrowWithTheRootOfTheFleet)
+// The links of the busiest instance must grow far more slowly than the fleet.
+TEST(TestReportTopology, LinksGrowWithTheSquareRootOfTheFleetSize)
 {
   for (int const count : { 30, 100, 330 }) {
     std::map<instance_id, std::size_t> links;
-    for (auto const& [id, layout] : Layouts(Fleet(count, 4))) {
-      if (layout.mParent)
-        ++links[*layout.mParent];
-      links[id] += layout.mContacts.size();
+    for (auto const& [id, topology] : Topologies(Fleet(count, 4))) {
+      if (topology.mParent)
+        ++links[*topology.mParent];
+      links[id] += topology.mContacts.size();
     }
     std::size_t most = 0;
-    for (auto const& [id, count_of] : links)
-      most = std::max(most, count_of);
+    for (auto const& [id, linkCount] : links)
+      most = std::max(most, linkCount);
     EXPECT_LE(most * most, 14u * static_cast<unsigned>(count)) << count;
   }
 }
 
-TEST(TestReportLayout, AParentStaysAlsoWhenItIsNoRootAnyMore)
+TEST(TestReportTopology, ParentStaysWhenItIsNoLongerARoot)
 {
   std::vector<peer_hello> const fleet = Fleet(84, 4);
   std::size_t const child = 83;
-  instance_id const parent = *LayoutOf(fleet, child).mParent;
+  instance_id const parent = *TopologyOf(fleet, child).mParent;
   std::vector<peer_hello> larger = fleet;
   for (int index = 0; index < 12; ++index) {
     peer_hello added = fleet[child];
@@ -120,11 +120,12 @@
     added.mCapacity = 900;
     larger.push_back(added);
   }
-  EXPECT_EQ(LayoutOf(larger, child, parent).mParent, parent);
+  EXPECT_EQ(TopologyOf(larger, child, parent).mParent, parent);
 }
 
-// Whatever each of them sees of the fleet, following parents ends.
-TEST(TestReportLayout, ParentsNeverFormARing)
+// Instances that know different parts of the fleet must not choose parents in a
+// cycle.
+TEST(TestReportTopology, ParentsNeverFormACycle)
 {
   std::vector<peer_hello> const fleet = Fleet(60, 3);
   for (unsigned view = 1; view < 40; ++view) {
@@ -136,7 +137,7 @@
           seen.push_back(fleet[other]);
       }
       parents[fleet[self].mIdentity.mInstance] =
-        LayOutReports(fleet[self], seen, {}).mParent;
+        ComputeReportTopology(fleet[self], seen, {}).mParent;
     }
     for (auto const& [id, parent] : parents) {
       std::optional<instance_id> at = parent;
--- a/Tests/LibFleet/TestRollingUpdatePlan.cpp
+++ b/Tests/LibFleet/TestRollingUpdatePlan.cpp
@@ -25,50 +25,51 @@
 }
 
 std::vector<target_weights>
-Named(std::uint64_t aVersion)
+Target(std::uint64_t aVersion)
 {
   return { { .mModel = kModel,
              .mVersions = { { .mVersion = aVersion, .mLearnedAt = kNow } } } };
 }
 
-constexpr turnover_timing kTiming{ .mFirstPart = 0.5, .mLaterPart = 0.5 };
+constexpr rolling_update_timing kTiming{ .mInitialShare = 0.5,
+                                         .mLaterShare = 0.5 };
 
-TEST(TestTurnoverPlan, NothingTurnsWithoutNewerWeights)
+TEST(TestRollingUpdatePlan, NoServerUpdatesWithoutNewerWeights)
 {
-  turnover_plan plan{ kTiming };
-  plan.Update(kNow, Servers(4), Named(1));
+  rolling_update_plan plan{ kTiming };
+  plan.Update(kNow, Servers(4), Target(1));
   EXPECT_TRUE(plan.IsIdle());
 }
 
-TEST(TestTurnoverPlan, APartOfThePoolTurnsAtATime)
+TEST(TestRollingUpdatePlan, OnlyAShareOfThePoolUpdatesAtATime)
 {
-  turnover_plan plan{ kTiming };
+  rolling_update_plan plan{ kTiming };
   std::vector<registered_server> servers = Servers(6);
-  plan.Update(kNow, servers, Named(2));
-  EXPECT_EQ(plan.Turning().size(), 3U);
+  plan.Update(kNow, servers, Target(2));
+  EXPECT_EQ(plan.Updating().size(), 3U);
   servers[0].mModels[0].mVersion = 2;
-  plan.Update(kNow, servers, Named(2));
-  EXPECT_EQ(plan.Turning().size(), 3U);
-  EXPECT_FALSE(plan.Turning().contains(servers[0].mId));
+  plan.Update(kNow, servers, Target(2));
+  EXPECT_EQ(plan.Updating().size(), 3U);
+  EXPECT_FALSE(plan.Updating().contains(servers[0].mId));
 }
 
-TEST(TestTurnoverPlan, APoolOfOneTurnsToo)
+TEST(TestRollingUpdatePlan, PoolOfOneServerUpdatesToo)
 {
-  turnover_plan plan{ { .mFirstPart = 0.1, .mLaterPart = 0.1 } };
-  plan.Update(kNow, Servers(1), Named(2));
-  EXPECT_EQ(plan.Turning().size(), 1U);
+  rolling_update_plan plan{ { .mInitialShare = 0.1, .mLaterShare = 0.1 } };
+  plan.Update(kNow, Servers(1), Target(2));
+  EXPECT_EQ(plan.Updating().size(), 1U);
 }
 
-// Found on quiet-1: orders were refused since the count of accepted orders
-// had not been asked for.
-TEST(TestTurnoverPlan, AnOrderFollowsNoticeAndQuestion)
+// Orders were refused because the count of accepted orders had not been
+// requested; found on quiet-1.
+TEST(TestRollingUpdatePlan, OrderWaitsForTheNoticeAndTheEngineState)
 {
-  turnover_plan plan{ kTiming };
+  rolling_update_plan plan{ kTiming };
   std::vector<registered_server> const servers = Servers(1);
-  plan.Update(kNow, servers, Named(2));
-  EXPECT_EQ(plan.DueQuestions(kNow).size(), 1U);
-  plan.OnAsked(kNow, servers[0].mId);
-  instant const later = kNow + kTiming.mNotice;
+  plan.Update(kNow, servers, Target(2));
+  EXPECT_EQ(plan.DueStateRequests(kNow).size(), 1U);
+  plan.OnStateRequested(kNow, servers[0].mId);
+  instant const later = kNow + kTiming.mNoticeTime;
   EXPECT_TRUE(plan.DueOrders(later).empty());
   plan.OnReport(later, servers[0].mId, { .mOrders = 7 });
   EXPECT_EQ(plan.DueOrders(later).size(), 1U);
@@ -78,64 +79,64 @@
   EXPECT_TRUE(plan.DueOrders(later).empty());
 }
 
-TEST(TestTurnoverPlan, AnOrderWithoutEffectIsRepeated)
+TEST(TestRollingUpdatePlan, OrderWithoutEffectIsRetried)
 {
-  turnover_plan plan{ kTiming };
+  rolling_update_plan plan{ kTiming };
   std::vector<registered_server> const servers = Servers(1);
-  plan.Update(kNow, servers, Named(2));
+  plan.Update(kNow, servers, Target(2));
   plan.OnReport(kNow, servers[0].mId, { .mOrders = 0 });
   plan.OnOrdered(kNow, servers[0].mId);
   plan.OnAnswer(kNow, servers[0].mId, order_answer::Unknown);
-  engine_report const calm{ .mModels = {
+  engine_report const idle{ .mModels = {
                               { .mModel = kModel, .mVersion = 1 } } };
-  plan.OnReport(kNow + milliseconds{ 500 }, servers[0].mId, calm);
+  plan.OnReport(kNow + milliseconds{ 500 }, servers[0].mId, idle);
   EXPECT_TRUE(plan.DueOrders(kNow + milliseconds{ 500 }).empty());
-  plan.OnReport(kNow + seconds{ 2 }, servers[0].mId, calm);
+  plan.OnReport(kNow + seconds{ 2 }, servers[0].mId, idle);
   EXPECT_EQ(plan.DueOrders(kNow + seconds{ 2 }).size(), 1U);
 }
 
-TEST(TestTurnoverPlan, ABusyEngineIsAskedAnew)
+TEST(TestRollingUpdatePlan, StateOfABusyEngineIsRequestedAgain)
 {
-  turnover_plan plan{ kTiming };
+  rolling_update_plan plan{ kTiming };
   std::vector<registered_server> const servers = Servers(1);
-  plan.Update(kNow, servers, Named(2));
+  plan.Update(kNow, servers, Target(2));
   plan.OnReport(kNow, servers[0].mId, { .mOrders = 0 });
   plan.OnOrdered(kNow, servers[0].mId);
   plan.OnAnswer(kNow, servers[0].mId, order_answer::Busy);
   instant const later = kNow + seconds{ 1 };
   EXPECT_TRUE(plan.DueOrders(later).empty());
-  EXPECT_EQ(plan.DueQuestions(later).size(), 1U);
+  EXPECT_EQ(plan.DueStateRequests(later).size(), 1U);
 }
 
-TEST(TestTurnoverPlan, AServerWhoseAddressIsAnothersHoldsNoPlace)
+TEST(TestRollingUpdatePlan, MisdirectedOrderEndsTheUpdate)
 {
-  turnover_plan plan{ kTiming };
+  rolling_update_plan plan{ kTiming };
   std::vector<registered_server> const servers = Servers(1);
-  plan.Update(kNow, servers, Named(2));
+  plan.Update(kNow, servers, Target(2));
   plan.OnAnswer(kNow, servers[0].mId, order_answer::Misdirected);
   EXPECT_TRUE(plan.IsIdle());
 }
 
-TEST(TestTurnoverPlan, ARestartedOrLeavingServerEndsItsTurn)
+TEST(TestRollingUpdatePlan, LeavingServerEndsItsUpdate)
 {
-  turnover_plan plan{ kTiming };
+  rolling_update_plan plan{ kTiming };
   std::vector<registered_server> servers = Servers(2);
-  plan.Update(kNow, servers, Named(2));
-  ASSERT_EQ(plan.Turning().size(), 1U);
+  plan.Update(kNow, servers, Target(2));
+  ASSERT_EQ(plan.Updating().size(), 1U);
   for (registered_server& server : servers)
     server.mStage = server_stage::Leaving;
-  plan.Update(kNow, servers, Named(2));
+  plan.Update(kNow, servers, Target(2));
   EXPECT_TRUE(plan.IsIdle());
 }
 
-TEST(TestTurnoverPlan, TheOldestWeightsTurnFirst)
+TEST(TestRollingUpdatePlan, ServersWithTheOldestWeightsUpdateFirst)
 {
-  turnover_plan plan{ { .mFirstPart = 0.3, .mLaterPart = 0.3 } };
+  rolling_update_plan plan{ { .mInitialShare = 0.3, .mLaterShare = 0.3 } };
   std::vector<registered_server> servers = Servers(3);
   servers[0].mModels[0].mVersion = 2;
   servers[1].mModels[0].mVersion = 2;
-  plan.Update(kNow, servers, Named(3));
-  EXPECT_TRUE(plan.Turning().contains(servers[2].mId));
+  plan.Update(kNow, servers, Target(3));
+  EXPECT_TRUE(plan.Updating().contains(servers[2].mId));
 }
 
 }
--- a/Tests/LibFleet/TestServerRegistry.cpp
+++ b/Tests/LibFleet/TestServerRegistry.cpp
@@ -21,18 +21,18 @@
            .mModels = { { .mModel = kModel, .mVersion = aVersion } } };
 }
 
-TEST(TestServerRegister, ADroppedEntryIsGoneAtOnce)
+TEST(TestServerRegistry, DroppedEntryIsRemovedAtOnce)
 {
-  server_register known;
+  server_registry known;
   known.OnStoreAnswer(kNow);
   known.OnEntry(Entry(1));
   known.OnDropped(kNow, kServer);
   EXPECT_TRUE(known.Servers().empty());
 }
 
-TEST(TestServerRegister, EntriesThatLapsedWithTheStoreAwayMayReturn)
+TEST(TestServerRegistry, EntryDroppedAfterAStoreOutageGetsAGracePeriod)
 {
-  server_register known;
+  server_registry known;
   known.OnEntry(Entry(1));
   known.OnStoreFailure();
   known.OnStoreAnswer(kNow + seconds{ 4 });
@@ -44,9 +44,9 @@
   EXPECT_EQ(known.Servers().size(), 1U);
 }
 
-TEST(TestServerRegister, OnesThatDoNotReturnAreGone)
+TEST(TestServerRegistry, EntryIsRemovedAfterTheGracePeriod)
 {
-  server_register known;
+  server_registry known;
   known.OnEntry(Entry(1));
   known.OnStoreFailure();
   known.OnStoreAnswer(kNow + seconds{ 4 });
@@ -55,34 +55,34 @@
   EXPECT_TRUE(known.Servers().empty());
 }
 
-TEST(TestServerRegister, WordsOfAnEarlierLifeAreIgnored)
+TEST(TestServerRegistry, EntryOfAnEarlierIncarnationIsIgnored)
 {
-  server_register known;
+  server_registry known;
   known.OnEntry(Entry(2, 1));
   known.OnEntry(Entry(1, 9));
   EXPECT_EQ(known.Servers()[0].mIncarnation, incarnation{ 2 });
   EXPECT_EQ(known.Servers()[0].VersionOf(kModel), 1U);
 }
 
-TEST(TestServerRegister, SeenWeightsCountForTheirLife)
+TEST(TestServerRegistry, ObservedWeightsCountForTheirIncarnation)
 {
-  server_register known;
+  server_registry known;
   known.OnEntry(Entry(2, 1));
-  EXPECT_FALSE(known.OnWeights(kServer, incarnation{ 1 }, kModel, 5));
-  EXPECT_TRUE(known.OnWeights(kServer, incarnation{ 2 }, kModel, 5));
-  EXPECT_FALSE(known.OnWeights(kServer, incarnation{ 2 }, kModel, 4));
-  // A heartbeat that was on its way tells of older ones.
+  EXPECT_FALSE(known.OnObservedWeights(kServer, incarnation{ 1 }, kModel, 5));
+  EXPECT_TRUE(known.OnObservedWeights(kServer, incarnation{ 2 }, kModel, 5));
+  EXPECT_FALSE(known.OnObservedWeights(kServer, incarnation{ 2 }, kModel, 4));
+  // A heartbeat that was sent before still contains the older version.
   known.OnEntry(Entry(2, 1));
   EXPECT_EQ(known.Servers()[0].VersionOf(kModel), 5U);
 }
 
-// Found on scale-2: entries of crashed servers stayed listed.
-TEST(TestServerRegister, AServerWhoseAddressIsAnothersIsGoneUntilItsNextEntry)
+// Entries of crashed servers stayed registered; found on scale-2.
+TEST(TestServerRegistry, ServerWhoseAddressIsTakenIsRemovedUntilItsNextEntry)
 {
-  server_register known;
+  server_registry known;
   known.OnEntry(Entry(2));
-  EXPECT_FALSE(known.OnAbsent({ kServer, incarnation{ 1 } }));
-  EXPECT_TRUE(known.OnAbsent({ kServer, incarnation{ 2 } }));
+  EXPECT_FALSE(known.OnAddressTaken({ kServer, incarnation{ 1 } }));
+  EXPECT_TRUE(known.OnAddressTaken({ kServer, incarnation{ 2 } }));
   EXPECT_TRUE(known.Servers().empty());
   known.OnEntry(Entry(3));
   EXPECT_EQ(known.Servers().size(), 1U);
