--- /dev/null
+++ b/Libraries/LibFleet/ReaderElection.cpp
@@ -0,0 +1,41 @@
+#include <LibFleet/ReaderElection.h>
+
+namespace lycheeseam {
+
+void
+reader_election::OnRead(instant aNow, bool aWasAnswered)
+{
+  if (aWasAnswered)
+    mAnsweredAt = aNow;
+}
+
+void
+reader_election::OnPeerEnd(instant aNow,
+                           std::uint64_t aOwnEnd,
+                           std::uint64_t aPeerEnd)
+{
+  if (aPeerEnd <= aOwnEnd) {
+    mLaggingSince.reset();
+    return;
+  }
+  if (!mLaggingSince)
+    mLaggingSince = aNow;
+  if (aNow - *mLaggingSince < kLagTolerance)
+    return;
+  mLaggingSince.reset();
+  RequestRead();
+}
+
+bool
+reader_election::IsDue(instant aNow, bool aHasReader) const
+{
+  return mIsReadRequested || (!aHasReader && aNow >= mNextReadAt);
+}
+
+bool
+reader_election::IsReading(instant aNow) const
+{
+  return mAnsweredAt != instant{} && aNow - mAnsweredAt < kAnswerFreshness;
+}
+
+}
--- /dev/null
+++ b/Libraries/LibFleet/ReaderElection.h
@@ -0,0 +1,56 @@
+#pragma once
+
+#include <LibCore/Instant.h>
+
+#include <chrono>
+#include <cstdint>
+#include <optional>
+
+namespace lycheeseam {
+
+/// Decides when this instance reads a topic of the store. One elected instance
+/// reads for all; the others read for themselves only while no instance does.
+class reader_election
+{
+public:
+  /// A read of the store ended.
+  void OnRead(instant aNow, bool aWasAnswered);
+
+  /// True when a read is due.
+  [[nodiscard]] bool IsDue(instant aNow, bool aHasReader) const;
+
+  /// Makes a read due at once, whichever instance is elected, as after a gap in
+  /// the relayed records.
+  void RequestRead() { mIsReadRequested = true; }
+
+  /// A peer reports the offset after its last record; this instance has the
+  /// records before aOwnEnd. When this instance has been lagging for too long,
+  /// a read is due at once.
+  void OnPeerEnd(instant aNow, std::uint64_t aOwnEnd, std::uint64_t aPeerEnd);
+
+  void OnReadStart(instant aNow)
+  {
+    mNextReadAt = aNow + kPollInterval;
+    mIsReadRequested = false;
+  }
+
+  /// True while the store answers this instance's own reads.
+  [[nodiscard]] bool IsReading(instant aNow) const;
+
+private:
+  // A configuration is in force within 2 s of its acknowledgement, and a
+  // leaving server gets no more work after 2 s; an interval below half a second
+  // leaves time for a read that fails.
+  static constexpr std::chrono::milliseconds kPollInterval{ 400 };
+  static constexpr std::chrono::milliseconds kAnswerFreshness{ 1'100 };
+  // Relayed records arrive before the next report of the peer that relayed
+  // them, so a longer lag means that some were lost.
+  static constexpr std::chrono::milliseconds kLagTolerance{ 300 };
+
+  instant mNextReadAt{};
+  instant mAnsweredAt{};
+  std::optional<instant> mLaggingSince;
+  bool mIsReadRequested = false;
+};
+
+}
--- /dev/null
+++ b/Libraries/LibFleet/ServerRegistry.h
@@ -0,0 +1,63 @@
+#pragma once
+
+#include <LibCore/Instant.h>
+#include <LibCore/ServerIdentity.h>
+#include <LibDispatch/RegisteredServer.h>
+
+#include <map>
+#include <optional>
+#include <vector>
+
+namespace lycheeseam {
+
+/// The backend servers that are registered in the store.
+///
+/// Entries expire during an outage of the store, even those of running servers.
+/// Such a server gets a grace period after the outage to register again before
+/// it is removed.
+class server_registry
+{
+public:
+  /// A server has written its entry; true when the server, its incarnation or
+  /// its stage is new.
+  bool OnEntry(registered_server aServer);
+
+  /// A server's entry has been dropped from the store.
+  void OnDropped(instant aNow, backend_server_id const& aServer);
+
+  /// Another server answered at the address of aServer, which stays removed
+  /// until it writes its next entry. True when that incarnation was registered.
+  bool OnAddressTaken(server_identity const& aServer);
+
+  /// The store failed to answer.
+  void OnStoreFailure();
+
+  /// The store answered.
+  void OnStoreAnswer(instant aNow);
+
+  /// Weights of an engine were observed; true when they are newer than the
+  /// known ones.
+  bool OnObservedWeights(backend_server_id const& aServer,
+                         incarnation aIncarnation,
+                         model_name const& aModel,
+                         std::uint64_t aVersion);
+
+  /// Removes servers whose grace period is over; true when there were any.
+  bool Expire(instant aNow);
+
+  [[nodiscard]] std::vector<registered_server> Servers() const;
+
+private:
+  struct entry
+  {
+    registered_server mServer;
+    /// When the grace period of a dropped entry ends; empty for other entries.
+    std::optional<instant> mGracePeriodEnd;
+  };
+
+  std::map<backend_server_id, entry> mEntries;
+  bool mIsStoreUnreachable = false;
+  std::optional<instant> mStoreReachableSince;
+};
+
+}
--- /dev/null
+++ b/Libraries/LibFleet/StoreFollower.h
@@ -0,0 +1,190 @@
+#pragma once
+
+#include <LibCore/SystemClock.h>
+#include <LibEvents/EventLog.h>
+#include <LibFleet/PageSource.h>
+#include <LibFleet/ReaderElection.h>
+#include <LibFleet/TopicReader.h>
+#include <LibPeer/TopicRelay.h>
+#include <LibStore/TopicState.h>
+
+#include <chrono>
+#include <functional>
+#include <span>
+#include <utility>
+#include <vector>
+
+namespace lycheeseam {
+
+/// Follows the topics of operators and backend servers: by own reads while no
+/// other instance reads for this one, else by the records that the elected
+/// reader passes on.
+template<fleet_dialect Dialect>
+class store_follower
+{
+public:
+  /// Receives the new records of each page. A page without any still shows that
+  /// the store answers.
+  using new_records_handler = std::function<
+    void(store_topic, std::span<keyed_record const>, page_source)>;
+  /// Receives records that this instance read, to be passed on to peers.
+  using relay_handler = std::function<void(topic_relay const&)>;
+  /// Called when the store didn't answer a read of the servers.
+  using failure_handler = std::function<void()>;
+
+  store_follower(http_client& aClient,
+                 endpoint const& aStore,
+                 new_records_handler aNewRecordsHandler,
+                 relay_handler aRelayHandler,
+                 failure_handler aFailureHandler)
+    : mNewRecordsHandler(std::move(aNewRecordsHandler))
+    , mRelayHandler(std::move(aRelayHandler))
+    , mFailureHandler(std::move(aFailureHandler))
+    , mOperators(MakeFollowedTopic(aClient, aStore, store_topic::Operators))
+    , mServers(MakeFollowedTopic(aClient, aStore, store_topic::Servers))
+  {
+  }
+  store_follower(store_follower const&) = delete;
+  store_follower& operator=(store_follower const&) = delete;
+
+  /// Starts the reads that are due.
+  void Tick(instant aNow, bool aHasReader)
+  {
+    for (followed_topic* const topic : { &mServers, &mOperators }) {
+      if (topic->mElection.IsDue(aNow, aHasReader))
+        Read(*topic);
+    }
+    // Reads of the store may lag behind it while it drops old records, and miss
+    // some. Reading the newest record of every key from time to time makes up
+    // for that.
+    if (aNow < mNextRefreshAt)
+      return;
+    mNextRefreshAt = aNow + kRefreshInterval;
+    mServers.mReader.Refresh();
+    mOperators.mReader.Refresh();
+  }
+
+  /// Applies records that another instance read.
+  void OnRelay(topic_relay const& aRelay)
+  {
+    if (aRelay.mTopic == store_topic::Operators)
+      ApplyRelay(aRelay, mOperators);
+    if (aRelay.mTopic == store_topic::Servers)
+      ApplyRelay(aRelay, mServers);
+  }
+
+  /// The offset after the last record of the operators that is known; 0 for
+  /// none.
+  [[nodiscard]] std::uint64_t OperatorsEnd() const
+  {
+    return mOperators.mReader.NextOffset().value_or(0);
+  }
+
+  /// A peer reports the offset after its last record of the operators. Records
+  /// that it passed on may have been lost when a link closed.
+  void OnPeerEnd(instant aNow, std::uint64_t aEnd)
+  {
+    mOperators.mElection.OnPeerEnd(aNow, OperatorsEnd(), aEnd);
+  }
+
+  /// True while the store answers this instance's own reads of both topics.
+  [[nodiscard]] bool IsReading(instant aNow) const
+  {
+    return mServers.mElection.IsReading(aNow) &&
+           mOperators.mElection.IsReading(aNow);
+  }
+
+  /// True while the store answers this instance's own reads of the servers.
+  [[nodiscard]] bool IsReadingServers(instant aNow) const
+  {
+    return mServers.mElection.IsReading(aNow);
+  }
+
+private:
+  struct followed_topic
+  {
+    store_topic mTopic;
+    topic_reader<Dialect> mReader;
+    reader_election mElection{};
+    topic_state mState{};
+  };
+
+  static constexpr std::chrono::milliseconds kRefreshInterval{ 3'000 };
+
+  followed_topic MakeFollowedTopic(http_client& aClient,
+                                   endpoint const& aStore,
+                                   store_topic aTopic)
+  {
+    return { .mTopic = aTopic,
+             .mReader = { aClient,
+                          aStore,
+                          aTopic,
+                          [this, aTopic](std::uint64_t aFrom,
+                                         topic_page const& aPage,
+                                         bool aIsFull) {
+                            OnPage(aTopic, aFrom, aPage, aIsFull);
+                          } } };
+  }
+
+  void Read(followed_topic& aTopic)
+  {
+    if (aTopic.mReader.IsReading())
+      return;
+    aTopic.mElection.OnReadStart(mClock.Now());
+    aTopic.mReader.Read([this, &aTopic](store_read_status aStatus) {
+      bool const isAnswered = aStatus != store_read_status::Failed;
+      UpdateStoreState(isAnswered);
+      aTopic.mElection.OnRead(mClock.Now(), isAnswered);
+      if (aStatus == store_read_status::Expired)
+        aTopic.mElection.RequestRead();
+      if (!isAnswered && &aTopic == &mServers)
+        mFailureHandler();
+    });
+  }
+
+  void UpdateStoreState(bool aIsAnswering)
+  {
+    if (std::exchange(mIsStoreAnswering, aIsAnswering) != aIsAnswering)
+      LogEvent(aIsAnswering ? "store_back" : "store_lost", {});
+  }
+
+  void OnPage(store_topic aTopic,
+              std::uint64_t aFrom,
+              topic_page const& aPage,
+              bool aIsFull)
+  {
+    if (mSource == page_source::Store && !aPage.mRecords.empty())
+      mRelayHandler({ .mTopic = aTopic,
+                      .mIsWhole = aIsFull,
+                      .mFrom = aFrom,
+                      .mEnd = aPage.mEnd,
+                      .mRecords = aPage.mRecords });
+    topic_state& state =
+      aTopic == store_topic::Operators ? mOperators.mState : mServers.mState;
+    mNewRecordsHandler(aTopic, state.Take(aPage, aIsFull), mSource);
+  }
+
+  void ApplyRelay(topic_relay const& aRelay, followed_topic& aTopic)
+  {
+    topic_page const page{ .mRecords = aRelay.mRecords, .mEnd = aRelay.mEnd };
+    mSource = page_source::Peer;
+    if (aRelay.mIsWhole)
+      aTopic.mReader.ApplyFullPage(page);
+    else if (!aTopic.mReader.ApplyPage(aRelay.mFrom, page))
+      aTopic.mElection.RequestRead();
+    mSource = page_source::Store;
+  }
+
+  new_records_handler mNewRecordsHandler;
+  relay_handler mRelayHandler;
+  failure_handler mFailureHandler;
+  system_clock mClock;
+  /// The source of the page that is being applied.
+  page_source mSource = page_source::Store;
+  followed_topic mOperators;
+  followed_topic mServers;
+  instant mNextRefreshAt{};
+  bool mIsStoreAnswering = true;
+};
+
+}
--- /dev/null
+++ b/Tests/LibFleet/TestPeerRegistry.cpp
@@ -0,0 +1,256 @@
+#include <LibFleet/PeerRegistry.h>
+#include <LibFleet/ReaderElection.h>
+
+#include <gtest/gtest.h>
+
+namespace lycheeseam {
+
+namespace {
+
+using std::chrono::milliseconds;
+using std::chrono::seconds;
+
+instant const kNow = instant{} + seconds{ 100 };
+workspace_id const kWorkspace{ "w" };
+
+peer_hello
+Hello(char const* aName, std::uint64_t aIncarnation = 1)
+{
+  return { .mIdentity = { .mInstance = instance_id{ aName },
+                          .mIncarnation = incarnation{ aIncarnation } } };
+}
+
+fleet_report
+UsageReport(double aUnits)
+{
+  return { .mSpent = { { kWorkspace, aUnits } } };
+}
+
+fleet_roster
+Roster(std::initializer_list<roster_entry> aEntries)
+{
+  return { .mEntries = aEntries };
+}
+
+double
+TotalUsage(peer_registry const& aRegistry)
+{
+  double sum = 0;
+  for (workspace_usage const& usage : aRegistry.Usage().Total())
+    sum += usage.mUnits;
+  return sum;
+}
+
+TEST(TestPeerRegistry, ReadyPeersAreEntriesUntilTheyLeave)
+{
+  peer_registry registry{ instance_id{ "m" } };
+  registry.OnUp(kNow, Hello("a"));
+  EXPECT_TRUE(registry.Entries().empty());
+  registry.OnRoster(kNow,
+                    Hello("a").mIdentity,
+                    Roster({ { .mHello = Hello("a"), .mIsReady = true } }));
+  EXPECT_EQ(registry.Entries().size(), 1U);
+  registry.OnRoster(
+    kNow,
+    Hello("a").mIdentity,
+    Roster({ { .mHello = Hello("a"), .mIsReady = true, .mIsLeaving = true } }));
+  EXPECT_TRUE(registry.Entries().empty());
+}
+
+TEST(TestPeerRegistry, UnresponsivePeersKeepTheirShareUntilTheyArePruned)
+{
+  peer_registry registry{ instance_id{ "m" } };
+  registry.OnUp(kNow, Hello("a"));
+  registry.OnReport(kNow, Hello("a").mIdentity, UsageReport(0));
+  EXPECT_EQ(registry.Unresponsive(kNow), 0U);
+  EXPECT_EQ(registry.Unresponsive(kNow + seconds{ 1 }), 1U);
+  registry.OnDown(kNow + seconds{ 1 }, Hello("a").mIdentity);
+  registry.Prune(kNow + seconds{ 20 });
+  EXPECT_EQ(registry.Known().Count(), 1U);
+  registry.Prune(kNow + seconds{ 40 });
+  EXPECT_EQ(registry.Known().Count(), 0U);
+}
+
+TEST(TestPeerRegistry, UsageAddsUpOverIncarnations)
+{
+  peer_registry registry{ instance_id{ "m" } };
+  registry.OnUp(kNow, Hello("a", 1));
+  registry.OnReport(kNow, Hello("a", 1).mIdentity, UsageReport(0));
+  registry.OnReport(
+    kNow + milliseconds{ 200 }, Hello("a", 1).mIdentity, UsageReport(15));
+  EXPECT_EQ(TotalUsage(registry), 15);
+  registry.OnUp(kNow + milliseconds{ 300 }, Hello("a", 2));
+  registry.OnReport(
+    kNow + milliseconds{ 400 }, Hello("a", 2).mIdentity, UsageReport(0));
+  registry.OnReport(
+    kNow + milliseconds{ 600 }, Hello("a", 2).mIdentity, UsageReport(5));
+  EXPECT_EQ(TotalUsage(registry), 20);
+}
+
+// A new instance counted all that the others had ever admitted as admitted just
+// now, and refused requests for a whole quota window.
+TEST(TestPeerRegistry, UsageBeforeTheFirstReportIsNotCounted)
+{
+  peer_registry registry{ instance_id{ "m" } };
+  registry.OnUp(kNow, Hello("a"));
+  registry.OnReport(kNow, Hello("a").mIdentity, UsageReport(1'000'000));
+  EXPECT_EQ(TotalUsage(registry), 0);
+  registry.OnReport(
+    kNow + milliseconds{ 200 }, Hello("a").mIdentity, UsageReport(1'000'007));
+  EXPECT_EQ(TotalUsage(registry), 7);
+}
+
+TEST(TestPeerRegistry, UsageOfAnUnresponsivePeerIsNotCounted)
+{
+  peer_registry registry{ instance_id{ "m" } };
+  registry.OnUp(kNow, Hello("a"));
+  registry.OnReport(kNow, Hello("a").mIdentity, UsageReport(0));
+  registry.OnReport(
+    kNow + milliseconds{ 200 }, Hello("a").mIdentity, UsageReport(10));
+  registry.OnReport(kNow + seconds{ 5 }, Hello("a").mIdentity, UsageReport(90));
+  EXPECT_EQ(TotalUsage(registry), 10);
+  registry.OnReport(kNow + seconds{ 5 } + milliseconds{ 100 },
+                    Hello("a").mIdentity,
+                    UsageReport(95));
+  EXPECT_EQ(TotalUsage(registry), 15);
+}
+
+TEST(TestPeerRegistry, NewestLeaseDecidesWhichServersAreUpdating)
+{
+  peer_registry registry{ instance_id{ "m" } };
+  for (char const* const name : { "a", "b" })
+    registry.OnUp(kNow, Hello(name));
+  registry.OnReport(
+    kNow,
+    Hello("a").mIdentity,
+    { .mLease = 3, .mUpdating = { backend_server_id{ "old" } } });
+  registry.OnReport(
+    kNow,
+    Hello("b").mIdentity,
+    { .mLease = 4, .mUpdating = { backend_server_id{ "new" } } });
+  EXPECT_EQ(registry.NewestLease(kNow), 4U);
+  EXPECT_TRUE(registry.Updating(kNow).contains(backend_server_id{ "new" }));
+  EXPECT_FALSE(registry.Updating(kNow).contains(backend_server_id{ "old" }));
+  EXPECT_TRUE(registry.Updating(kNow + seconds{ 2 }).empty());
+}
+
+TEST(TestPeerRegistry, FirstInstanceByIdReadsForAll)
+{
+  peer_registry registry{ instance_id{ "m" } };
+  for (char const* const name : { "a", "z" })
+    registry.OnUp(kNow, Hello(name));
+  registry.OnReport(
+    kNow, Hello("z").mIdentity, { .mReader = instance_id{ "z" } });
+  EXPECT_FALSE(registry.HasReader(kNow));
+  EXPECT_EQ(registry.Rank(kNow), 0U);
+  registry.OnReport(
+    kNow, Hello("a").mIdentity, { .mReader = instance_id{ "a" } });
+  EXPECT_TRUE(registry.HasReader(kNow));
+  EXPECT_EQ(registry.Rank(kNow), 1U);
+  EXPECT_FALSE(registry.HasReader(kNow + seconds{ 2 }));
+}
+
+TEST(TestPeerRegistry, InstancesInTheRosterOfALinkAreResponsive)
+{
+  peer_registry registry{ instance_id{ "m" } };
+  registry.OnRegistered(kNow, Hello("b"));
+  registry.OnRegistered(kNow, Hello("gone"));
+  registry.OnUp(kNow, Hello("a"));
+  EXPECT_EQ(registry.Unresponsive(kNow), 3U);
+  registry.OnRoster(kNow,
+                    Hello("a").mIdentity,
+                    Roster({ { .mHello = Hello("a") },
+                             { .mHello = Hello("b") },
+                             { .mHello = Hello("m") } }));
+  registry.OnReport(
+    kNow, Hello("a").mIdentity, { .mScope = report_scope::Rest });
+  EXPECT_EQ(registry.Known().Count(), 3U);
+  EXPECT_EQ(registry.Unresponsive(kNow), 1U);
+  EXPECT_EQ(registry.Rank(kNow), 2U);
+  EXPECT_EQ(registry.Unresponsive(kNow + seconds{ 2 }), 3U);
+}
+
+TEST(TestPeerRegistry, EntriesStayWhileAParentIsReplaced)
+{
+  peer_registry registry{ instance_id{ "m" } };
+  registry.OnUp(kNow, Hello("a"));
+  registry.OnRoster(kNow,
+                    Hello("a").mIdentity,
+                    Roster({ { .mHello = Hello("a"), .mIsReady = true },
+                             { .mHello = Hello("b"), .mIsReady = true } }));
+  registry.OnReport(
+    kNow, Hello("a").mIdentity, { .mScope = report_scope::Rest });
+  registry.OnDown(kNow, Hello("a").mIdentity);
+  ASSERT_EQ(registry.Entries().size(), 1U);
+  EXPECT_EQ(registry.Entries()[0].mInstance, instance_id{ "b" });
+  registry.Prune(kNow + seconds{ 4 });
+  EXPECT_TRUE(registry.Entries().empty());
+}
+
+// A report of another scope adds up other instances, so its difference to the
+// report before isn't usage.
+TEST(TestPeerRegistry, ReportOfAnotherScopeCountsNoUsage)
+{
+  peer_registry registry{ instance_id{ "m" } };
+  registry.OnUp(kNow, Hello("a"));
+  registry.OnReport(kNow, Hello("a").mIdentity, UsageReport(5));
+  fleet_report rest = UsageReport(500);
+  rest.mScope = report_scope::Rest;
+  registry.OnReport(kNow + milliseconds{ 150 }, Hello("a").mIdentity, rest);
+  EXPECT_EQ(TotalUsage(registry), 0);
+  rest.mSpent[0].mUnits = 507;
+  registry.OnReport(kNow + milliseconds{ 300 }, Hello("a").mIdentity, rest);
+  EXPECT_EQ(TotalUsage(registry), 7);
+}
+
+TEST(TestPeerRegistry, InstanceInARosterIsNotUnreachable)
+{
+  peer_registry registry{ instance_id{ "m" } };
+  for (char const* const name : { "a", "b" })
+    registry.OnUp(kNow, Hello(name));
+  registry.OnRoster(
+    kNow,
+    Hello("a").mIdentity,
+    Roster({ { .mHello = Hello("a") }, { .mHello = Hello("b") } }));
+  registry.OnDown(kNow, Hello("b").mIdentity);
+  EXPECT_TRUE(registry.Known().Unreachable().empty());
+  registry.OnDown(kNow, Hello("a").mIdentity);
+  EXPECT_EQ(registry.Known().Unreachable().size(), 1U);
+}
+
+TEST(TestPeerRegistry, ReadIsDueWhileNoOtherInstanceReads)
+{
+  reader_election election;
+  EXPECT_TRUE(election.IsDue(kNow, false));
+  EXPECT_FALSE(election.IsDue(kNow, true));
+  election.OnReadStart(kNow);
+  EXPECT_FALSE(election.IsDue(kNow, false));
+  EXPECT_FALSE(election.IsReading(kNow));
+  election.OnRead(kNow, true);
+  EXPECT_TRUE(election.IsReading(kNow));
+  EXPECT_FALSE(election.IsReading(kNow + seconds{ 2 }));
+  // After a gap in the relayed records, the missing ones weren't read for 3 s.
+  election.RequestRead();
+  EXPECT_TRUE(election.IsDue(kNow, true));
+  election.OnReadStart(kNow);
+  EXPECT_FALSE(election.IsDue(kNow, true));
+}
+
+// A configuration that was relayed while a link changed was missed until the
+// next one.
+TEST(TestPeerRegistry, ReadIsDueAfterLaggingForTooLong)
+{
+  reader_election election;
+  election.OnReadStart(kNow);
+  election.OnPeerEnd(kNow, 5, 6);
+  EXPECT_FALSE(election.IsDue(kNow, true));
+  election.OnPeerEnd(kNow + milliseconds{ 150 }, 6, 6);
+  election.OnPeerEnd(kNow + milliseconds{ 300 }, 6, 7);
+  EXPECT_FALSE(election.IsDue(kNow + milliseconds{ 300 }, true));
+  election.OnPeerEnd(kNow + milliseconds{ 600 }, 6, 7);
+  EXPECT_TRUE(election.IsDue(kNow + milliseconds{ 600 }, true));
+}
+
+}
+
+}
