--- a/Libraries/LibOnce/FingerprintHome.cpp
+++ b/Libraries/LibOnce/FingerprintOwner.cpp
@@ -1,4 +1,4 @@
-#include <LibOnce/FingerprintHome.h>
+#include <LibOnce/FingerprintOwner.h>
 
 #include <xxhash.h>
 
@@ -33,8 +33,8 @@
 }
 
 instance_id
-PermitHomeOf(backend_server_id const& aFallback,
-             std::span<instance_id const> aInstances)
+FingerprintOwnerFor(backend_server_id const& aFallback,
+                    std::span<instance_id const> aInstances)
 {
   std::string const& text = aFallback.Text();
   return HighestScore(XXH3_64bits(text.data(), text.size()), aInstances);
--- a/Libraries/LibOnce/FingerprintHome.h
+++ b/Libraries/LibOnce/FingerprintOwner.h
@@ -17,7 +17,7 @@
 /// The instance that grants the permits of the fingerprints whose fallback is
 /// this server.
 instance_id
-PermitHomeOf(backend_server_id const& aFallback,
-             std::span<instance_id const> aInstances);
+FingerprintOwnerFor(backend_server_id const& aFallback,
+                    std::span<instance_id const> aInstances);
 
 }
--- a/Libraries/LibOnce/RunGuard.cpp
+++ b/Libraries/LibOnce/PermitClient.cpp
@@ -1,4 +1,4 @@
-#include <LibOnce/RunGuard.h>
+#include <LibOnce/PermitClient.h>
 
 #include <algorithm>
 #include <iterator>
@@ -7,9 +7,9 @@
 namespace lycheeseam {
 
 void
-run_guard::Begin(instant aNow,
-                 run_request const& aRequest,
-                 poison_table const& aTable)
+permit_client::Begin(instant aNow,
+                     run_request const& aRequest,
+                     poison_table const& aTable)
 {
   if (aTable.IsRefused(aNow, aRequest.mAsk.mFingerprint)) {
     Decide(aRequest, std::nullopt);
@@ -21,9 +21,9 @@
 }
 
 void
-run_guard::OnAnswer(instant aNow,
-                    run_answer const& aAnswer,
-                    poison_table const& aTable)
+permit_client::OnAnswer(instant aNow,
+                        permit_answer const& aAnswer,
+                        poison_table const& aTable)
 {
   auto const found = mAsking.find(aAnswer.mRequest);
   if (found == mAsking.end()) {
@@ -43,19 +43,19 @@
     return;
   }
   switch (aAnswer.mPermission) {
-    case run_permission::Granted:
+    case permit_decision::Granted:
       Decide(asking.mRequest, asking.mRequest.mAsk.mServer);
       mAsking.erase(found);
       break;
-    case run_permission::Refused:
+    case permit_decision::Refused:
       Decide(asking.mRequest, std::nullopt);
       mAsking.erase(found);
       break;
-    case run_permission::UseFallback:
+    case permit_decision::UseFallback:
       asking.mRequest.mAsk.mServer = asking.mRequest.mFallback;
       Ask(aNow, asking);
       break;
-    case run_permission::Wait:
+    case permit_decision::Wait:
       asking.mIsAnswered = true;
       asking.mWakeAt =
         std::min(aNow + mTiming.mWaitPause, asking.mRequest.mDeadline);
@@ -66,7 +66,7 @@
 }
 
 void
-run_guard::End(request_id const& aRequest, run_result aResult)
+permit_client::End(request_id const& aRequest, run_result aResult)
 {
   auto const found = mRunning.find(aRequest);
   if (found == mRunning.end())
@@ -80,17 +80,17 @@
   mRunning.erase(found);
 }
 
-std::vector<run_ask>
-run_guard::Running() const
+std::vector<permit_request>
+permit_client::Running() const
 {
-  std::vector<run_ask> running;
+  std::vector<permit_request> running;
   for (auto const& [request, ask] : mRunning)
     running.push_back(ask);
   return running;
 }
 
 void
-run_guard::Tick(instant aNow, poison_table const& aTable)
+permit_client::Tick(instant aNow, poison_table const& aTable)
 {
   for (auto next = mAsking.begin(); next != mAsking.end();) {
     bool const isOver = Wake(aNow, next->second, aTable);
@@ -99,7 +99,7 @@
 }
 
 std::optional<instant>
-run_guard::NextWake() const
+permit_client::NextWake() const
 {
   std::optional<instant> next;
   for (auto const& [request, asking] : mAsking)
@@ -107,32 +107,32 @@
   return next;
 }
 
-std::vector<run_ask>
-run_guard::TakeAsks()
+std::vector<permit_request>
+permit_client::TakeAsks()
 {
   return std::exchange(mAsks, {});
 }
 
-std::vector<run_end>
-run_guard::TakeEnds()
+std::vector<permit_return>
+permit_client::TakeEnds()
 {
   return std::exchange(mEnds, {});
 }
 
 std::vector<crash_report>
-run_guard::TakeReports()
+permit_client::TakeReports()
 {
   return std::exchange(mReports, {});
 }
 
 std::vector<run_decision>
-run_guard::TakeDecisions()
+permit_client::TakeDecisions()
 {
   return std::exchange(mDecisions, {});
 }
 
 void
-run_guard::Ask(instant aNow, asking_request& aAsking)
+permit_client::Ask(instant aNow, asking_request& aAsking)
 {
   aAsking.mIsAnswered = false;
   aAsking.mWakeAt =
@@ -141,10 +141,10 @@
 }
 
 void
-run_guard::Decide(run_request const& aRequest,
-                  std::optional<server_identity> aServer)
+permit_client::Decide(run_request const& aRequest,
+                      std::optional<server_identity> aServer)
 {
-  run_ask running = aRequest.mAsk;
+  permit_request running = aRequest.mAsk;
   if (aServer) {
     running.mServer = *aServer;
     mRunning.insert_or_assign(running.mRequest, running);
@@ -158,9 +158,9 @@
 }
 
 bool
-run_guard::Wake(instant aNow,
-                asking_request& aAsking,
-                poison_table const& aTable)
+permit_client::Wake(instant aNow,
+                    asking_request& aAsking,
+                    poison_table const& aTable)
 {
   if (aNow < aAsking.mWakeAt)
     return false;
--- a/Libraries/LibOnce/RunGuard.h
+++ b/Libraries/LibOnce/PermitClient.h
@@ -1,9 +1,9 @@
 #pragma once
 
+#include <LibOnce/PermitAnswer.h>
+#include <LibOnce/PermitReturn.h>
 #include <LibOnce/PoisonTable.h>
-#include <LibOnce/RunAnswer.h>
 #include <LibOnce/RunDecision.h>
-#include <LibOnce/RunEnd.h>
 #include <LibOnce/RunRequest.h>
 
 #include <map>
@@ -14,10 +14,10 @@
 
 /// Asks for permits for this instance's requests and keeps what runs on which
 /// server, to report it to all instances when the server crashes.
-class run_guard
+class permit_client
 {
 public:
-  explicit run_guard(poison_timing aTiming)
+  explicit permit_client(poison_timing aTiming)
     : mTiming(aTiming)
   {
   }
@@ -29,14 +29,14 @@
 
   /// The home has answered.
   void OnAnswer(instant aNow,
-                run_answer const& aAnswer,
+                permit_answer const& aAnswer,
                 poison_table const& aTable);
 
   /// A request that was told to run has ended.
   void End(request_id const& aRequest, run_result aResult);
 
   /// What runs here, to announce it to a home that has started anew.
-  [[nodiscard]] std::vector<run_ask> Running() const;
+  [[nodiscard]] std::vector<permit_request> Running() const;
 
   /// Does what is due.
   void Tick(instant aNow, poison_table const& aTable);
@@ -45,10 +45,10 @@
   [[nodiscard]] std::optional<instant> NextWake() const;
 
   /// Asks to send to the homes of their fallback servers, taken once.
-  [[nodiscard]] std::vector<run_ask> TakeAsks();
+  [[nodiscard]] std::vector<permit_request> TakeAsks();
 
   /// Ends to send to the same homes, taken once.
-  [[nodiscard]] std::vector<run_end> TakeEnds();
+  [[nodiscard]] std::vector<permit_return> TakeEnds();
 
   /// Crashes to tell all instances, this one too, at once; taken once.
   [[nodiscard]] std::vector<crash_report> TakeReports();
@@ -73,9 +73,9 @@
 
   poison_timing mTiming;
   std::map<request_id, asking_request> mAsking;
-  std::map<request_id, run_ask> mRunning;
-  std::vector<run_ask> mAsks;
-  std::vector<run_end> mEnds;
+  std::map<request_id, permit_request> mRunning;
+  std::vector<permit_request> mAsks;
+  std::vector<permit_return> mEnds;
   std::vector<crash_report> mReports;
   std::vector<run_decision> mDecisions;
 };
--- a/Libraries/LibOnce/RunPermission.h
+++ b/Libraries/LibOnce/PermitDecision.h
@@ -3,7 +3,7 @@
 namespace lycheeseam {
 
 /// A home's word on a run ask.
-enum class run_permission
+enum class permit_decision
 {
   Granted,
   /// Ask again, for the fallback server.
--- a/Libraries/LibOnce/PermitHome.cpp
+++ b/Libraries/LibOnce/PermitIssuer.cpp
@@ -1,18 +1,18 @@
-#include <LibOnce/PermitHome.h>
+#include <LibOnce/PermitIssuer.h>
 
 #include <algorithm>
 #include <utility>
 
 namespace lycheeseam {
 
-run_answer
-permit_home::OnAsk(instant aNow,
-                   run_ask const& aAsk,
-                   poison_table const& aTable)
+permit_answer
+permit_issuer::OnAsk(instant aNow,
+                     permit_request const& aAsk,
+                     poison_table const& aTable)
 {
   Expire(aNow);
-  run_permission const permission = Decide(aNow, aAsk, aTable);
-  if (permission == run_permission::Granted)
+  permit_decision const permission = Decide(aNow, aAsk, aTable);
+  if (permission == permit_decision::Granted)
     mRunning[aAsk.mFingerprint].insert_or_assign(
       aAsk.mRequest, permit{ .mOwner = aAsk.mFrom, .mServer = aAsk.mServer });
   return { .mRequest = aAsk.mRequest,
@@ -21,14 +21,16 @@
 }
 
 void
-permit_home::OnAnnounced(run_ask const& aAsk)
+permit_issuer::OnAnnounced(permit_request const& aAsk)
 {
   mRunning[aAsk.mFingerprint].insert_or_assign(
     aAsk.mRequest, permit{ .mOwner = aAsk.mFrom, .mServer = aAsk.mServer });
 }
 
 std::optional<suspicion_cleared>
-permit_home::OnEnd(instant aNow, run_end const& aEnd, poison_table& aTable)
+permit_issuer::OnEnd(instant aNow,
+                     permit_return const& aEnd,
+                     poison_table& aTable)
 {
   auto const found = mRunning.find(aEnd.mFingerprint);
   if (found == mRunning.end())
@@ -54,9 +56,9 @@
 }
 
 std::optional<crash_report>
-permit_home::OnCrash(instant aNow,
-                     crash_report const& aReport,
-                     poison_table& aTable)
+permit_issuer::OnCrash(instant aNow,
+                       crash_report const& aReport,
+                       poison_table& aTable)
 {
   aTable.OnCrash(aNow, aReport);
   crash_report untold{ .mServer = aReport.mServer };
@@ -78,7 +80,7 @@
 }
 
 void
-permit_home::OnInstanceGone(instant aNow, instance_identity const& aIdentity)
+permit_issuer::OnInstanceGone(instant aNow, instance_identity const& aIdentity)
 {
   for (auto& [fingerprint, running] : mRunning) {
     for (auto& [request, permit] : running) {
@@ -89,7 +91,7 @@
 }
 
 void
-permit_home::Expire(instant aNow)
+permit_issuer::Expire(instant aNow)
 {
   auto const isOver = [aNow](auto const& aEntry) {
     std::optional<instant> const& until = aEntry.second.mOrphanedUntil;
@@ -102,7 +104,7 @@
 }
 
 std::set<backend_server_id>
-permit_home::Occupied(run_ask const& aAsk) const
+permit_issuer::Occupied(permit_request const& aAsk) const
 {
   std::set<backend_server_id> servers;
   auto const found = mRunning.find(aAsk.mFingerprint);
@@ -117,9 +119,9 @@
 }
 
 bool
-permit_home::IsServerTakenBySuspect(instant aNow,
-                                    run_ask const& aAsk,
-                                    poison_table const& aTable) const
+permit_issuer::IsServerTakenBySuspect(instant aNow,
+                                      permit_request const& aAsk,
+                                      poison_table const& aTable) const
 {
   for (auto const& [fingerprint, running] : mRunning) {
     if (aTable.Crashes(aNow, fingerprint).empty())
@@ -134,30 +136,30 @@
   return false;
 }
 
-run_permission
-permit_home::Decide(instant aNow,
-                    run_ask const& aAsk,
-                    poison_table const& aTable) const
+permit_decision
+permit_issuer::Decide(instant aNow,
+                      permit_request const& aAsk,
+                      poison_table const& aTable) const
 {
   std::size_t const crashes = aTable.Crashes(aNow, aAsk.mFingerprint).size();
   if (crashes >= poison_table::kMostCrashes)
-    return run_permission::Refused;
+    return permit_decision::Refused;
   std::set<backend_server_id> others = Occupied(aAsk);
   if (crashes > 0) {
     if (aAsk.mServer.mServer != aAsk.mFallback)
-      return run_permission::UseFallback;
+      return permit_decision::UseFallback;
     // One run at a time tells whether this request is the one that crashes.
     bool const isAlone =
       others.empty() && !IsServerTakenBySuspect(aNow, aAsk, aTable);
-    return isAlone ? run_permission::Granted : run_permission::Wait;
+    return isAlone ? permit_decision::Granted : permit_decision::Wait;
   }
   others.erase(aAsk.mFallback);
   others.erase(aAsk.mServer.mServer);
   bool const isFallback = aAsk.mServer.mServer == aAsk.mFallback;
   bool const isSettled = aNow >= mStartedAt + mTiming.mSettleTime;
   if (!isFallback && !(isSettled && others.empty()))
-    return run_permission::UseFallback;
-  return run_permission::Granted;
+    return permit_decision::UseFallback;
+  return permit_decision::Granted;
 }
 
 }
--- a/Libraries/LibOnce/PermitHome.h
+++ b/Libraries/LibOnce/PermitIssuer.h
@@ -1,9 +1,9 @@
 #pragma once
 
+#include <LibOnce/PermitAnswer.h>
+#include <LibOnce/PermitRequest.h>
+#include <LibOnce/PermitReturn.h>
 #include <LibOnce/PoisonTable.h>
-#include <LibOnce/RunAnswer.h>
-#include <LibOnce/RunAsk.h>
-#include <LibOnce/RunEnd.h>
 #include <LibOnce/SuspicionCleared.h>
 
 #include <map>
@@ -21,10 +21,10 @@
 /// unsuspected fingerprint without a permit, when the home does not answer; it
 /// is always counted. A suspect runs on its fallback only, and one suspect at
 /// a time: all fingerprints of one fallback share a home.
-class permit_home
+class permit_issuer
 {
 public:
-  permit_home(instant aStartedAt, poison_timing aTiming)
+  permit_issuer(instant aStartedAt, poison_timing aTiming)
     : mTiming(aTiming)
     , mStartedAt(aStartedAt)
   {
@@ -32,17 +32,17 @@
 
   /// An instance runs a request already, under a permit of this home's earlier
   /// life or of another home.
-  void OnAnnounced(run_ask const& aAsk);
+  void OnAnnounced(permit_request const& aAsk);
 
   /// Answers an ask.
-  run_answer OnAsk(instant aNow,
-                   run_ask const& aAsk,
-                   poison_table const& aTable);
+  permit_answer OnAsk(instant aNow,
+                      permit_request const& aAsk,
+                      poison_table const& aTable);
 
   /// Takes a permit back. A suspect that completed is cleared in the table;
   /// the result is to be told to all instances.
   std::optional<suspicion_cleared> OnEnd(instant aNow,
-                                         run_end const& aEnd,
+                                         permit_return const& aEnd,
                                          poison_table& aTable);
 
   /// A server crashed. What had permits for it counts as having run there,
@@ -70,13 +70,14 @@
   using permits = std::map<request_id, permit>;
 
   /// The servers of the other permits for the same fingerprint.
-  [[nodiscard]] std::set<backend_server_id> Occupied(run_ask const& aAsk) const;
+  [[nodiscard]] std::set<backend_server_id> Occupied(
+    permit_request const& aAsk) const;
   [[nodiscard]] bool IsServerTakenBySuspect(instant aNow,
-                                            run_ask const& aAsk,
+                                            permit_request const& aAsk,
                                             poison_table const& aTable) const;
-  [[nodiscard]] run_permission Decide(instant aNow,
-                                      run_ask const& aAsk,
-                                      poison_table const& aTable) const;
+  [[nodiscard]] permit_decision Decide(instant aNow,
+                                       permit_request const& aAsk,
+                                       poison_table const& aTable) const;
 
   poison_timing mTiming;
   instant mStartedAt;
--- a/Libraries/LibOnce/RunAsk.h
+++ b/Libraries/LibOnce/PermitRequest.h
@@ -7,7 +7,7 @@
 namespace lycheeseam {
 
 /// Asks a fingerprint's home for a permit to run it on a server.
-struct run_ask
+struct permit_request
 {
   instance_identity mFrom;
   request_id mRequest;
@@ -18,7 +18,7 @@
   /// instance names the same one.
   backend_server_id mFallback;
 
-  bool operator==(run_ask const&) const = default;
+  bool operator==(permit_request const&) const = default;
 };
 
 }
--- a/Libraries/LibOnce/RunEnd.h
+++ b/Libraries/LibOnce/PermitReturn.h
@@ -7,13 +7,13 @@
 namespace lycheeseam {
 
 /// Gives a permit back: the request no longer runs.
-struct run_end
+struct permit_return
 {
   request_id mRequest;
   digest mFingerprint;
   run_result mResult = run_result::Unknown;
 
-  bool operator==(run_end const&) const = default;
+  bool operator==(permit_return const&) const = default;
 };
 
 }
--- a/Libraries/LibOnce/RetryPolicy.cpp
+++ b/Libraries/LibOnce/RetryPolicy.cpp
@@ -9,22 +9,22 @@
 
 }
 
-retry_place
-RetryPlaceFor(attempt_history const& aHistory)
+retry_target
+RetryTargetFor(attempt_history const& aHistory)
 {
   if (aHistory.mUnsent >= kMostUnsentAttempts)
-    return retry_place::Nowhere;
+    return retry_target::Nowhere;
   if (aHistory.mSent == 0)
-    return retry_place::Anywhere;
+    return retry_target::Anywhere;
   if (aHistory.mIdempotency == idempotency::NonIdempotent)
-    return retry_place::Nowhere;
+    return retry_target::Nowhere;
   if (aHistory.mSent >= kMostSentAttempts)
-    return retry_place::Nowhere;
+    return retry_target::Nowhere;
   // A part of the answer has gone to the caller; only a resumed stream may
   // follow it, which is not a retry.
   if (aHistory.mFailure == attempt_failure::BrokenInAnswer)
-    return retry_place::Nowhere;
-  return retry_place::SameFailureDomain;
+    return retry_target::Nowhere;
+  return retry_target::SameFailureDomain;
 }
 
 verdict
--- a/Libraries/LibOnce/RetryPolicy.h
+++ b/Libraries/LibOnce/RetryPolicy.h
@@ -2,7 +2,7 @@
 
 #include <LibCore/Verdict.h>
 #include <LibOnce/AttemptHistory.h>
-#include <LibOnce/RetryPlace.h>
+#include <LibOnce/RetryTarget.h>
 
 namespace lycheeseam {
 
@@ -12,8 +12,8 @@
 /// work once after an attempt that may have crashed its server, and then in
 /// the same failure domain, so that a request that crashes servers does not
 /// reach a second domain at once.
-retry_place
-RetryPlaceFor(attempt_history const& aHistory);
+retry_target
+RetryTargetFor(attempt_history const& aHistory);
 
 /// Whether the request may have run, after a failed attempt.
 verdict
--- a/Libraries/LibOnce/RetryPlace.h
+++ b/Libraries/LibOnce/RetryTarget.h
@@ -3,7 +3,7 @@
 namespace lycheeseam {
 
 /// Where a failed request may be tried again.
-enum class retry_place
+enum class retry_target
 {
   Nowhere,
   /// On another backend server of the same failure domain.
--- a/Tests/LibOnce/PoisonFleet.h
+++ b/Tests/LibOnce/PoisonFleet.h
@@ -1,9 +1,9 @@
 #pragma once
 
 #include "PoisonServer.h"
-#include <LibOnce/FingerprintHome.h>
-#include <LibOnce/PermitHome.h>
-#include <LibOnce/RunGuard.h>
+#include <LibOnce/FingerprintOwner.h>
+#include <LibOnce/PermitClient.h>
+#include <LibOnce/PermitIssuer.h>
 
 #include <algorithm>
 #include <array>
@@ -67,8 +67,8 @@
   struct member
   {
     instance_identity mIdentity;
-    run_guard mGuard{ {} };
-    permit_home mHome{ {}, {} };
+    permit_client mGuard{ {} };
+    permit_issuer mHome{ {}, {} };
     poison_table mTable{ {} };
   };
 
@@ -104,10 +104,10 @@
     poison_table const table = mMembers[(aMember + 1) % kInstances].mTable;
     mMembers[aMember] = { .mIdentity = { old.mInstance,
                                          old.mIncarnation.Next() },
-                          .mHome = permit_home{ mNow, {} },
+                          .mHome = permit_issuer{ mNow, {} },
                           .mTable = table };
     for (member& other : mMembers) {
-      for (run_ask const& ask : other.mGuard.Running()) {
+      for (permit_request const& ask : other.mGuard.Running()) {
         if (&HomeOf(ask.mFingerprint) == &mMembers[aMember])
           Later([this, aMember, ask]() {
             mMembers[aMember].mHome.OnAnnounced(ask);
@@ -127,12 +127,12 @@
       FallbackServer(fingerprint, mServerNames);
     backend_server_id const chosen = mServerNames[mRandom() % kServers];
     member& sender = mMembers[who];
-    run_ask const ask{ .mFrom = sender.mIdentity,
-                       .mRequest =
-                         request_id{ "r" + std::to_string(++mRequests) },
-                       .mFingerprint = fingerprint,
-                       .mServer = IdentityOf(chosen),
-                       .mFallback = fallback };
+    permit_request const ask{ .mFrom = sender.mIdentity,
+                              .mRequest =
+                                request_id{ "r" + std::to_string(++mRequests) },
+                              .mFingerprint = fingerprint,
+                              .mServer = IdentityOf(chosen),
+                              .mFallback = fallback };
     mFingerprints[ask.mRequest] = fingerprint;
     sender.mGuard.Begin(mNow,
                         { .mAsk = ask,
@@ -145,7 +145,7 @@
   {
     backend_server_id const fallback =
       FallbackServer(aFingerprint, mServerNames);
-    instance_id const home = PermitHomeOf(fallback, mNames);
+    instance_id const home = FingerprintOwnerFor(fallback, mNames);
     return *std::ranges::find_if(mMembers, [&home](member const& aMember) {
       return aMember.mIdentity.mInstance == home;
     });
@@ -155,9 +155,9 @@
   {
     member& self = mMembers[aMember];
     self.mGuard.Tick(mNow, self.mTable);
-    for (run_ask const& ask : self.mGuard.TakeAsks())
+    for (permit_request const& ask : self.mGuard.TakeAsks())
       Later([this, aMember, ask]() { DeliverAsk(aMember, ask); });
-    for (run_end const& end : self.mGuard.TakeEnds())
+    for (permit_return const& end : self.mGuard.TakeEnds())
       Later([this, end]() {
         member& home = HomeOf(end.mFingerprint);
         if (home.mHome.OnEnd(mNow, end, home.mTable))
@@ -169,12 +169,12 @@
       Decide(aMember, decision);
   }
 
-  void DeliverAsk(std::size_t aMember, run_ask const& aAsk)
+  void DeliverAsk(std::size_t aMember, permit_request const& aAsk)
   {
     member& home = HomeOf(aAsk.mFingerprint);
     if (Chance(mLoss))
       return;
-    run_answer const answer = home.mHome.OnAsk(mNow, aAsk, home.mTable);
+    permit_answer const answer = home.mHome.OnAsk(mNow, aAsk, home.mTable);
     if (Chance(mLoss))
       return;
     Later([this, aMember, answer]() {
--- a/Tests/LibOnce/PoisonTally.h
+++ b/Tests/LibOnce/PoisonTotals.h
@@ -3,7 +3,7 @@
 namespace lycheeseam {
 
 /// What all schedules together showed.
-struct poison_tally
+struct poison_totals
 {
   int mMostCrashes = 0;
   int mCompleted = 0;
--- a/Tests/LibOnce/TestPoison.cpp
+++ b/Tests/LibOnce/TestPoison.cpp
@@ -1,5 +1,5 @@
 #include "PoisonFleet.h"
-#include "PoisonTally.h"
+#include "PoisonTotals.h"
 
 #include <gtest/gtest.h>
 
@@ -14,10 +14,10 @@
 
 constexpr std::uint64_t kSchedules = 300;
 
-poison_tally
+poison_totals
 RunSchedules(double aLoss, bool aWithRestarts)
 {
-  poison_tally tally;
+  poison_totals tally;
   for (std::uint64_t seed = 1; seed <= kSchedules; ++seed) {
     poison_fleet fleet{ seed, aLoss };
     fleet.Run(seconds{ 20 }, aWithRestarts);
@@ -36,7 +36,7 @@
 
 TEST(TestPoison, CostsAtMostTwoServersHoweverOftenItIsSent)
 {
-  poison_tally const tally = RunSchedules(0, false);
+  poison_totals const tally = RunSchedules(0, false);
   EXPECT_EQ(tally.mSharedSuspects, 0);
   EXPECT_GT(tally.mCompleted, 0);
 }
--- a/Tests/LibOnce/TestRetryPolicy.cpp
+++ b/Tests/LibOnce/TestRetryPolicy.cpp
@@ -10,11 +10,11 @@
   attempt_history history{ .mIdempotency = idempotency::NonIdempotent,
                            .mFailure = attempt_failure::NotSent,
                            .mUnsent = 1 };
-  EXPECT_EQ(RetryPlaceFor(history), retry_place::Anywhere);
+  EXPECT_EQ(RetryTargetFor(history), retry_target::Anywhere);
   EXPECT_EQ(VerdictFor(history), verdict::NotRun);
   history.mFailure = attempt_failure::BrokenBeforeAnswer;
   history.mSent = 1;
-  EXPECT_EQ(RetryPlaceFor(history), retry_place::Nowhere);
+  EXPECT_EQ(RetryTargetFor(history), retry_target::Nowhere);
   EXPECT_EQ(VerdictFor(history), verdict::MayHaveRun);
 }
 
@@ -23,9 +23,9 @@
   attempt_history history{ .mIdempotency = idempotency::Idempotent,
                            .mFailure = attempt_failure::BrokenBeforeAnswer,
                            .mSent = 1 };
-  EXPECT_EQ(RetryPlaceFor(history), retry_place::SameFailureDomain);
+  EXPECT_EQ(RetryTargetFor(history), retry_target::SameFailureDomain);
   history.mSent = 2;
-  EXPECT_EQ(RetryPlaceFor(history), retry_place::Nowhere);
+  EXPECT_EQ(RetryTargetFor(history), retry_target::Nowhere);
 }
 
 TEST(TestRetryPolicy, GivesUpAfterThreeRefusedConnections)
@@ -33,7 +33,7 @@
   attempt_history const history{ .mIdempotency = idempotency::Idempotent,
                                  .mFailure = attempt_failure::NotSent,
                                  .mUnsent = 3 };
-  EXPECT_EQ(RetryPlaceFor(history), retry_place::Nowhere);
+  EXPECT_EQ(RetryTargetFor(history), retry_target::Nowhere);
 }
 
 TEST(TestRetryPolicy, ABrokenAnswerIsNotRetried)
@@ -41,7 +41,7 @@
   attempt_history const history{ .mIdempotency = idempotency::Idempotent,
                                  .mFailure = attempt_failure::BrokenInAnswer,
                                  .mSent = 1 };
-  EXPECT_EQ(RetryPlaceFor(history), retry_place::Nowhere);
+  EXPECT_EQ(RetryTargetFor(history), retry_target::Nowhere);
 }
 
 }
