--- a/Libraries/LibControl/StageRefusals.cpp
+++ b/Libraries/LibControl/StageRefusals.cpp
@@ -45,7 +45,7 @@
     case once_action::RefuseKeyReused:
       return { .mCode = refusal_code::KeyReused,
                .mMessage = "the Idempotency-Key was used for another request" };
-    case once_action::RefuseLogOut:
+    case once_action::RefuseLogUnreachable:
       return { .mCode = refusal_code::LogUnavailable,
                .mMessage = "the log that keeps the request from running twice "
                            "is not available",
--- a/Libraries/LibOnce/AttemptFailure.h
+++ b/Libraries/LibOnce/AttemptFailure.h
@@ -5,13 +5,13 @@
 /// How an attempt on a backend server failed.
 enum class attempt_failure
 {
-  /// The connection was refused or not made in time: no byte was sent.
+  /// The connection was refused or timed out: no byte was sent.
   NotSent,
-  /// The connection broke before the answer's first byte.
+  /// The connection closed before the first byte of the answer.
   BrokenBeforeAnswer,
-  /// The connection broke within the answer.
+  /// The connection closed within the answer.
   BrokenInAnswer,
-  /// No first byte came in time; the server may be at work.
+  /// The first byte did not arrive in time; the server may still be working.
   TimedOut,
 };
 
--- a/Libraries/LibOnce/AttemptHistory.h
+++ b/Libraries/LibOnce/AttemptHistory.h
@@ -7,14 +7,14 @@
 
 namespace lycheeseam {
 
-/// What is known of a request when one of its attempts has failed.
+/// The attempts of a request so far, when one of them has just failed.
 struct attempt_history
 {
   idempotency mIdempotency = idempotency::NonIdempotent;
   attempt_failure mFailure = attempt_failure::BrokenBeforeAnswer;
-  /// Attempts of which no byte was sent, this one included.
+  /// Attempts of which no byte was sent, including the failed one.
   std::uint32_t mUnsent = 0;
-  /// Attempts that may have run, this one included.
+  /// Attempts that the server may have run, including the failed one.
   std::uint32_t mSent = 0;
 };
 
--- a/Libraries/LibOnce/ClaimBatcher.cpp
+++ b/Libraries/LibOnce/ClaimBatcher.cpp
@@ -24,7 +24,7 @@
 void
 claim_batcher::Add(instant aNow, request_outcome aOutcome)
 {
-  if (aOutcome.mBody.size() > mLimits.mLargestBody)
+  if (aOutcome.mBody.size() > mLimits.mMaxBodyBytes)
     aOutcome.mBody.clear();
   mOutcomeBytes += aOutcome.mBody.size();
   mOutcomes.push_back(std::move(aOutcome));
@@ -41,14 +41,14 @@
     records.emplace_back(request_claim_batch{
       .mOrigin = NextOrigin(aTail), .mClaims = std::exchange(mClaims, {}) });
   }
-  bool const isLarge = mOutcomeBytes >= mLimits.mMostBytes;
+  bool const isLarge = mOutcomeBytes >= mLimits.mFlushBytes;
   if (isLarge || IsDue(aNow, mOutcomesSince, mOutcomes.size()))
-    CloseOutcomes(aTail, aNow);
-  for (auto& [proposal, sent] : mSent) {
-    if (aNow < sent.mRetryAt)
+    SealOutcomes(aTail, aNow);
+  for (auto& [proposal, unconfirmed] : mUnconfirmed) {
+    if (aNow < unconfirmed.mRetryAt)
       continue;
-    sent.mRetryAt = aNow + mLimits.mRetryAfter;
-    records.emplace_back(sent.mBatch);
+    unconfirmed.mRetryAt = aNow + mLimits.mRetryAfter;
+    records.emplace_back(unconfirmed.mBatch);
   }
   return records;
 }
@@ -56,9 +56,9 @@
 void
 claim_batcher::OnEntry(log_entry const& aEntry)
 {
-  if (request_outcome_batch const* ended =
+  if (request_outcome_batch const* outcomes =
         std::get_if<request_outcome_batch>(&aEntry.mRecord))
-    mSent.erase(ended->mOrigin.mProposal);
+    mUnconfirmed.erase(outcomes->mOrigin.mProposal);
 }
 
 std::optional<instant>
@@ -72,8 +72,8 @@
     keepEarliest(*mClaimsSince + mLimits.mDelay);
   if (mOutcomesSince)
     keepEarliest(*mOutcomesSince + mLimits.mDelay);
-  for (auto const& [proposal, sent] : mSent)
-    keepEarliest(sent.mRetryAt);
+  for (auto const& [proposal, unconfirmed] : mUnconfirmed)
+    keepEarliest(unconfirmed.mRetryAt);
   return next;
 }
 
@@ -91,16 +91,17 @@
 }
 
 void
-claim_batcher::CloseOutcomes(log_offset aTail, instant aNow)
+claim_batcher::SealOutcomes(log_offset aTail, instant aNow)
 {
   request_outcome_batch batch{ .mOrigin = NextOrigin(aTail),
                                .mOutcomes = std::exchange(mOutcomes, {}) };
-  // An outcome is true for ever, so it has no last offset.
+  // An outcome stays true however late it lands, so it has no last offset.
   batch.mOrigin.mLastOffset =
     log_offset{ std::numeric_limits<std::uint64_t>::max() };
   proposal_id const proposal = batch.mOrigin.mProposal;
-  mSent.emplace(proposal,
-                sent_outcomes{ .mBatch = std::move(batch), .mRetryAt = aNow });
+  mUnconfirmed.emplace(
+    proposal,
+    unconfirmed_outcomes{ .mBatch = std::move(batch), .mRetryAt = aNow });
   mOutcomeBytes = 0;
   mOutcomesSince.reset();
 }
@@ -112,7 +113,7 @@
 {
   if (!aSince)
     return false;
-  return aEntries >= mLimits.mMostEntries || aNow >= *aSince + mLimits.mDelay;
+  return aEntries >= mLimits.mFlushEntries || aNow >= *aSince + mLimits.mDelay;
 }
 
 }
--- a/Libraries/LibOnce/ClaimBatcher.h
+++ b/Libraries/LibOnce/ClaimBatcher.h
@@ -11,10 +11,10 @@
 
 namespace lycheeseam {
 
-/// Gathers claims and outcomes into few appends.
+/// Batches claims and outcomes into few log appends.
 ///
-/// A claim is appended once: whether it landed is read from the log. An
-/// outcome is appended until it is read back, since the fold takes it once.
+/// A claim is appended once, and the log shows whether it landed. An outcome is
+/// appended again until it is read back, since the fold applies it only once.
 class claim_batcher
 {
 public:
@@ -23,27 +23,28 @@
   /// Adds a claim to the next append.
   void Add(instant aNow, request_claim aClaim);
 
-  /// Adds an outcome; an answer that is too large is left out of it.
+  /// Adds an outcome to the next append, without its answer if that exceeds
+  /// mMaxBodyBytes.
   void Add(instant aNow, request_outcome aOutcome);
 
-  /// The records to append now. aTail is the newest offset known.
+  /// Returns the records to append now. aTail is the newest known offset.
   std::vector<log_record> Due(instant aNow, log_offset aTail);
 
-  /// Takes note of an entry that was read back.
+  /// Stops repeating the outcomes of an entry that was read back.
   void OnEntry(log_entry const& aEntry);
 
-  /// When Due has records next.
+  /// Returns the time at which Due has records next.
   [[nodiscard]] std::optional<instant> NextWake() const;
 
 private:
-  struct sent_outcomes
+  struct unconfirmed_outcomes
   {
     request_outcome_batch mBatch;
     instant mRetryAt;
   };
 
   record_origin NextOrigin(log_offset aTail);
-  void CloseOutcomes(log_offset aTail, instant aNow);
+  void SealOutcomes(log_offset aTail, instant aNow);
   [[nodiscard]] bool IsDue(instant aNow,
                            std::optional<instant> const& aSince,
                            std::size_t aEntries) const;
@@ -56,7 +57,7 @@
   std::vector<request_outcome> mOutcomes;
   std::size_t mOutcomeBytes = 0;
   std::optional<instant> mOutcomesSince;
-  std::map<proposal_id, sent_outcomes> mSent;
+  std::map<proposal_id, unconfirmed_outcomes> mUnconfirmed;
 };
 
 }
--- a/Libraries/LibOnce/ClaimEntry.h
+++ b/Libraries/LibOnce/ClaimEntry.h
@@ -8,13 +8,13 @@
 
 namespace lycheeseam {
 
-/// The claim that has the right to run a request, and how it ended.
+/// The claim that gives its owner the right to run a request, and the outcome.
 struct claim_entry
 {
   claim_identity mClaim;
   digest mFingerprint;
   log_offset mOffset;
-  /// Nothing while the request runs, or when its owner died.
+  /// Empty while the request runs, or when its owner ended without an outcome.
   std::optional<request_outcome> mOutcome;
 
   bool operator==(claim_entry const&) const = default;
--- a/Libraries/LibOnce/ClaimFold.cpp
+++ b/Libraries/LibOnce/ClaimFold.cpp
@@ -22,15 +22,15 @@
 void
 claim_fold::Apply(log_entry const& aEntry)
 {
-  Forget(aEntry.mOffset);
+  Expire(aEntry.mOffset);
   if (request_claim_batch const* claims =
         std::get_if<request_claim_batch>(&aEntry.mRecord))
     ApplyClaims(aEntry.mOffset, *claims);
-  // An outcome counts however late it lands: it only tells what has happened.
-  if (request_outcome_batch const* ended =
+  // An outcome is applied however late it lands, since it states a fact.
+  if (request_outcome_batch const* outcomes =
         std::get_if<request_outcome_batch>(&aEntry.mRecord))
-    for (request_outcome const& outcome : ended->mOutcomes)
-      ApplyOutcome(aEntry.mOffset, OwnerOf(*ended), outcome);
+    for (request_outcome const& outcome : outcomes->mOutcomes)
+      ApplyOutcome(aEntry.mOffset, OwnerOf(*outcomes), outcome);
 }
 
 claim_state
@@ -61,7 +61,7 @@
     mBodyBytes += entry.mOutcome->mBody.size();
     mBodyAges.push_back({ .mOffset = entry.mOffset, .mKey = kept.mKey });
   }
-  // The state is in order of keys; what is forgotten first comes first.
+  // The state is sorted by key; the ages are sorted by offset, oldest first.
   std::ranges::sort(mClaimAges, {}, &aged_key::mOffset);
   std::ranges::sort(mBodyAges, {}, &aged_key::mOffset);
   for (kept_release const& kept : aState.mReleases) {
@@ -85,7 +85,7 @@
   for (request_claim const& claim : aBatch.mClaims) {
     claim_identity const identity{ .mOwner = OwnerOf(aBatch),
                                    .mNumber = claim.mNumber };
-    // Forgetting the release here would let a doubled append win later.
+    // The release is kept, since the same claim may be appended a second time.
     if (mReleased.contains(identity))
       continue;
     if (IsFull() || mClaims.contains(claim.mKey))
@@ -112,26 +112,26 @@
     bool const isOpen = isHolder && !found->second.mOutcome;
     if (isOpen)
       Erase(found);
-    // The claim itself may still land, or land again.
+    // The claim may still land, or land a second time.
     if ((isOpen || !isHolder) && mReleased.insert(identity).second)
       mReleaseAges.push_back({ .mOffset = aOffset, .mClaim = identity });
     return;
   }
   if (isHolder && !found->second.mOutcome)
-    KeepOutcome(aOffset, found->second, aOutcome);
+    RecordOutcome(aOffset, found->second, aOutcome);
 }
 
 void
-claim_fold::KeepOutcome(log_offset aOffset,
-                        claim_entry& aEntry,
-                        request_outcome const& aOutcome)
+claim_fold::RecordOutcome(log_offset aOffset,
+                          claim_entry& aEntry,
+                          request_outcome const& aOutcome)
 {
   aEntry.mOutcome = aOutcome;
   if (aOutcome.mBody.empty())
     return;
   mBodyBytes += aOutcome.mBody.size();
   mBodyAges.push_back({ .mOffset = aOffset, .mKey = aOutcome.mKey });
-  while (mBodyBytes > mWindow.mMostBodyBytes) {
+  while (mBodyBytes > mWindow.mMaxTotalBodyBytes) {
     auto const oldest = mClaims.find(mBodyAges.front().mKey);
     mBodyAges.pop_front();
     if (oldest != mClaims.end())
@@ -156,7 +156,7 @@
 }
 
 void
-claim_fold::Forget(log_offset aOffset)
+claim_fold::Expire(log_offset aOffset)
 {
   auto const isOld = [&](log_offset aAge) {
     return aAge.Value() + mWindow.mOffsets < aOffset.Value();
--- a/Libraries/LibOnce/ClaimFold.h
+++ b/Libraries/LibOnce/ClaimFold.h
@@ -11,9 +11,9 @@
 
 namespace lycheeseam {
 
-/// Who may run each request that carries an idempotency key, as of the entries
-/// applied. The first claim in log order has the right; it loses it only by
-/// its owner's own word that the request was not run.
+/// Derives from the log which claim gives the right to run each request with an
+/// idempotency key. The first claim in log order holds the key until its owner
+/// reports that the request was not run, or until the claim expires.
 class claim_fold
 {
 public:
@@ -22,28 +22,28 @@
   {
   }
 
-  /// Takes the next entry in log order.
+  /// Applies the next entry in log order.
   void Apply(log_entry const& aEntry);
 
-  /// Everything that the fold knows.
+  /// Returns the complete state, for a checkpoint or a snapshot.
   [[nodiscard]] claim_state State() const;
 
-  /// Goes on from a checkpoint or a peer's snapshot.
+  /// Replaces the state by that of a checkpoint or of a peer's snapshot.
   void Restore(claim_state const& aState);
 
-  /// The claim that has the right, or null.
+  /// Returns the claim that holds the key, or null.
   [[nodiscard]] claim_entry const* Find(request_key const& aKey) const;
 
-  /// Whether further claims would be refused for want of room.
+  /// Whether the table is full, so that further claims are refused.
   [[nodiscard]] bool IsFull() const noexcept
   {
-    return mClaims.size() >= mWindow.mMostClaims;
+    return mClaims.size() >= mWindow.mMaxClaims;
   }
 
-  /// Claims that are remembered.
+  /// Returns the number of claims in the table.
   [[nodiscard]] std::size_t Size() const noexcept { return mClaims.size(); }
 
-  /// Bytes of answers that are kept.
+  /// Returns the total size of the stored answers, in bytes.
   [[nodiscard]] std::size_t BodyBytes() const noexcept { return mBodyBytes; }
 
 private:
@@ -63,21 +63,21 @@
   void ApplyOutcome(log_offset aOffset,
                     instance_identity const& aOwner,
                     request_outcome const& aOutcome);
-  void KeepOutcome(log_offset aOffset,
-                   claim_entry& aEntry,
-                   request_outcome const& aOutcome);
+  void RecordOutcome(log_offset aOffset,
+                     claim_entry& aEntry,
+                     request_outcome const& aOutcome);
   void Erase(std::map<request_key, claim_entry>::iterator aEntry);
   void DropBody(claim_entry& aEntry);
-  void Forget(log_offset aOffset);
+  void Expire(log_offset aOffset);
 
   claim_window mWindow;
   std::map<request_key, claim_entry> mClaims;
-  /// Claims that were released before they landed.
+  /// Released claims, which are ignored if they land afterwards.
   std::set<claim_identity> mReleased;
-  /// What to forget, the oldest first.
+  /// Claims and releases to expire, oldest first.
   std::deque<aged_key> mClaimAges;
   std::deque<aged_release> mReleaseAges;
-  /// Whose answers to drop, the oldest first.
+  /// Keys whose stored answers are dropped first, oldest first.
   std::deque<aged_key> mBodyAges;
   std::size_t mBodyBytes = 0;
 };
--- a/Libraries/LibOnce/ClaimIdentity.h
+++ b/Libraries/LibOnce/ClaimIdentity.h
@@ -5,7 +5,7 @@
 
 namespace lycheeseam {
 
-/// One claim of one life of an instance.
+/// Identifies a claim by its owner's identity and its number.
 struct claim_identity
 {
   instance_identity mOwner;
--- a/Libraries/LibOnce/ClaimState.h
+++ b/Libraries/LibOnce/ClaimState.h
@@ -7,7 +7,7 @@
 
 namespace lycheeseam {
 
-/// A remembered claim with the request that it is for.
+/// A claim with the key of its request.
 struct kept_claim
 {
   request_key mKey;
@@ -16,7 +16,7 @@
   bool operator==(kept_claim const&) const = default;
 };
 
-/// A claim that was released, with the offset of its release.
+/// A released claim, with the offset of its release.
 struct kept_release
 {
   log_offset mOffset;
@@ -25,7 +25,7 @@
   bool operator==(kept_release const&) const = default;
 };
 
-/// Everything that the fold of claims knows, for checkpoints and snapshots.
+/// The complete state of claim_fold, for checkpoints and snapshots.
 struct claim_state
 {
   std::vector<kept_claim> mClaims;
--- a/Libraries/LibOnce/ClaimWindow.h
+++ b/Libraries/LibOnce/ClaimWindow.h
@@ -5,18 +5,18 @@
 
 namespace lycheeseam {
 
-/// How long claims are remembered and how many. Every instance must run with
-/// the same window, since the fold depends on it.
+/// How long claims are kept, and how many. All instances must use the same
+/// window, so that their folds agree.
 struct claim_window
 {
-  /// A claim is forgotten this many log entries after it landed; much more
-  /// than an append may be late by.
+  /// The number of log entries after which a claim expires; far more than the
+  /// entries by which an append may be delayed.
   std::uint64_t mOffsets = 100'000;
-  /// Claims remembered at once; a claim beyond this is refused.
-  std::size_t mMostClaims = 100'000;
-  /// Bytes of answers kept; beyond this the oldest answers are dropped, and
-  /// their repeats get the verdict alone.
-  std::size_t mMostBodyBytes = 8'000'000;
+  /// The maximum number of claims; further claims are refused.
+  std::size_t mMaxClaims = 100'000;
+  /// The maximum total size of stored answers, in bytes. Beyond it the oldest
+  /// answers are dropped, and a repeat of their request gets only the verdict.
+  std::size_t mMaxTotalBodyBytes = 8'000'000;
 };
 
 }
--- a/Libraries/LibOnce/CrashReport.h
+++ b/Libraries/LibOnce/CrashReport.h
@@ -7,8 +7,8 @@
 
 namespace lycheeseam {
 
-/// Tells all instances that a backend server crashed, and what the sender had
-/// running on it.
+/// Reports to all instances that a backend server crashed, and the fingerprints
+/// that the sender had running on it.
 struct crash_report
 {
   server_identity mServer;
--- a/Libraries/LibOnce/FingerprintOwner.h
+++ b/Libraries/LibOnce/FingerprintOwner.h
@@ -7,15 +7,15 @@
 
 namespace lycheeseam {
 
-/// The server of a pool on which a fingerprint may run without a permit and
-/// as a suspect. Pass every server of the pool's row, also ones that are
-/// down, so that all instances choose the same.
+/// Returns the server of a pool on which a fingerprint may run without a permit
+/// or as a suspect. aServers is every server of the pool's row, including those
+/// that are down, so that all instances select the same one.
 backend_server_id
 FallbackServer(digest const& aFingerprint,
                std::span<backend_server_id const> aServers);
 
-/// The instance that grants the permits of the fingerprints whose fallback is
-/// this server.
+/// Returns the instance that issues the permits of all fingerprints whose
+/// fallback server is aFallback.
 instance_id
 FingerprintOwnerFor(backend_server_id const& aFallback,
                     std::span<instance_id const> aInstances);
--- a/Libraries/LibOnce/LogState.h
+++ b/Libraries/LibOnce/LogState.h
@@ -2,11 +2,11 @@
 
 namespace lycheeseam {
 
-/// Whether the platform's log answers.
+/// Whether this instance reaches the platform's log.
 enum class log_state
 {
   Reachable,
-  Out,
+  Unreachable,
 };
 
 }
--- a/Libraries/LibOnce/OnceAction.h
+++ b/Libraries/LibOnce/OnceAction.h
@@ -2,20 +2,20 @@
 
 namespace lycheeseam {
 
-/// What a request may do now.
+/// What happens with a request that came to the once_gate.
 enum class once_action
 {
   /// Send it to a backend server.
   Run,
-  /// Another attempt with the same key has run: give its answer.
+  /// Another request with the same key has run: return its answer.
   Replay,
-  /// Another attempt with the same key may have run.
+  /// Another request with the same key may have run.
   RefuseMayHaveRun,
-  /// The key was used for another request. Not run.
+  /// The key was used for a different request. Not run.
   RefuseKeyReused,
-  /// The log can't be reached or took too long. Not run.
-  RefuseLogOut,
-  /// Too many claims are remembered. Not run.
+  /// The log is unreachable or did not answer in time. Not run.
+  RefuseLogUnreachable,
+  /// The table of claims is full. Not run.
   RefuseFull,
 };
 
--- a/Libraries/LibOnce/OnceDecision.h
+++ b/Libraries/LibOnce/OnceDecision.h
@@ -7,7 +7,7 @@
 
 namespace lycheeseam {
 
-/// The gate's word on a request.
+/// The decision of once_gate on a request.
 struct once_decision
 {
   request_id mId;
--- a/Libraries/LibOnce/OnceGate.cpp
+++ b/Libraries/LibOnce/OnceGate.cpp
@@ -7,9 +7,9 @@
 
 namespace {
 
-/// The longest between winning a claim and sending the request; far less than
-/// the log takes to forget a claim.
-constexpr duration kDispatchBound = std::chrono::seconds{ 5 };
+/// The maximum time between winning a claim and sending the request; far less
+/// than the time after which a claim expires.
+constexpr duration kMaxDispatchDelay = std::chrono::seconds{ 5 };
 
 }
 
@@ -34,7 +34,7 @@
 {
   auto const found = mRunning.find(aId);
   return found != mRunning.end() &&
-         aNow <= found->second.mDecidedAt + kDispatchBound;
+         aNow <= found->second.mDecidedAt + kMaxDispatchDelay;
 }
 
 void
@@ -153,11 +153,11 @@
   claim_entry const* const entry = mFold.Find(*aWaiting.mRequest.mKey);
   if (aWaiting.mClaim)
     Release(aNow, aWaiting);
-  // Another attempt holds the key and has not ended.
-  bool const isElsewhere = entry != nullptr && !IsOwn(aWaiting, *entry);
+  // Another request holds the key and has not ended.
+  bool const isHeldByOther = entry != nullptr && !IsOwn(aWaiting, *entry);
   Decide(aWaiting.mRequest.mId,
-         isElsewhere ? once_action::RefuseMayHaveRun
-                     : once_action::RefuseLogOut);
+         isHeldByOther ? once_action::RefuseMayHaveRun
+                       : once_action::RefuseLogUnreachable);
   return true;
 }
 
@@ -166,10 +166,10 @@
                    waiting_request& aWaiting,
                    claim_entry const* aEntry)
 {
-  bool const isElsewhere = aEntry != nullptr && !IsOwn(aWaiting, *aEntry);
-  if (isElsewhere && aWaiting.mClaim) {
-    // The claim has lost, or will when it lands; it must not win later, when
-    // the other attempt has released the key.
+  bool const isHeldByOther = aEntry != nullptr && !IsOwn(aWaiting, *aEntry);
+  if (isHeldByOther && aWaiting.mClaim) {
+    // The claim loses, now or when it lands. It is released so that it does not
+    // win later, after the other request has released the key.
     Release(aNow, aWaiting);
     aWaiting.mClaim.reset();
   }
--- a/Libraries/LibOnce/OnceGate.h
+++ b/Libraries/LibOnce/OnceGate.h
@@ -13,8 +13,12 @@
 
 namespace lycheeseam {
 
-/// Lets each request with an idempotency key run at most once over all
-/// instances and restarts.
+/// Runs each non-idempotent request with an idempotency key at most once, over
+/// all instances and restarts.
+///
+/// The instances share the platform's log: an instance appends a claim for the
+/// key, runs the request when its claim is the first in the log, and appends
+/// the outcome, which answers repeats of the request.
 class once_gate
 {
 public:
@@ -22,38 +26,39 @@
             batch_limits aLimits,
             claim_window aWindow);
 
-  /// A request has come. Its decision comes through TakeDecisions, at once or
-  /// when the log has shown who may run it.
+  /// Starts on a new request. TakeDecisions returns its decision, at once or
+  /// after the log has shown which claim holds the key.
   template<owner_liveness Liveness>
   void Begin(instant aNow,
              once_request const& aRequest,
              log_state aLog,
              Liveness const& aIsAlive);
 
-  /// Folds the next entry of the log.
+  /// Applies the next entry of the log.
   void OnEntry(log_entry const& aEntry);
 
-  /// Goes on from a checkpoint or a peer's snapshot.
+  /// Replaces the claims by those of a checkpoint or of a peer's snapshot.
   void Restore(claim_state const& aState) { mFold.Restore(aState); }
 
-  /// Decides what the entries and the time have settled.
+  /// Decides the requests that the entries read or the time passed allow.
   template<owner_liveness Liveness>
   void Tick(instant aNow, Liveness const& aIsAlive);
 
-  /// Whether a request that was told to run may still be sent. Asked right
-  /// before sending: after a long pause the claim may have been forgotten.
+  /// Whether a request with the decision Run may still be sent. Call it right
+  /// before sending: after a long pause the claim may have expired.
   [[nodiscard]] bool MayDispatch(instant aNow, request_id const& aId) const;
 
-  /// A request that was told to run has ended. NotRun frees its key.
+  /// Records how a request with the decision Run ended. NotRun releases its
+  /// key.
   void End(instant aNow, request_id const& aId, request_outcome aOutcome);
 
-  /// The records to append now.
+  /// Returns the records to append now.
   std::vector<log_record> TakeRecords(instant aNow, log_offset aTail);
 
-  /// Decisions on requests, taken once.
+  /// Returns the decisions made since the last call.
   [[nodiscard]] std::vector<once_decision> TakeDecisions();
 
-  /// When Tick or TakeRecords has work next.
+  /// Returns the time at which Tick or TakeRecords has work next.
   [[nodiscard]] std::optional<instant> NextWake() const;
 
   [[nodiscard]] claim_fold const& Claims() const noexcept { return mFold; }
@@ -62,7 +67,7 @@
   struct waiting_request
   {
     once_request mRequest;
-    /// Set when this instance has claimed for the request.
+    /// Set while this instance has a claim for the request.
     std::optional<claim_number> mClaim;
   };
 
@@ -123,8 +128,8 @@
       mWaiting.emplace(aRequest.mId, std::move(waiting));
     return;
   }
-  if (aLog == log_state::Out) {
-    Decide(aRequest.mId, once_action::RefuseLogOut);
+  if (aLog == log_state::Unreachable) {
+    Decide(aRequest.mId, once_action::RefuseLogUnreachable);
     return;
   }
   if (mFold.IsFull()) {
@@ -142,10 +147,10 @@
   for (auto next = mWaiting.begin(); next != mWaiting.end();) {
     waiting_request& waiting = next->second;
     claim_entry const* const entry = mFold.Find(*waiting.mRequest.mKey);
-    bool const isOver =
+    bool const isDecided =
       (entry != nullptr && Settle(aNow, waiting, *entry, aIsAlive)) ||
       Expire(aNow, waiting);
-    if (isOver) {
+    if (isDecided) {
       next = mWaiting.erase(next);
       continue;
     }
@@ -168,7 +173,8 @@
     return SettleByOwner(
       aWaiting, aEntry, !isEarlierIncarnation && aIsAlive(owner));
   }
-  // Past its deadline the request is refused as not run, and released.
+  // After its deadline the request is refused as not run, and its claim is
+  // released.
   if (aNow >= aWaiting.mRequest.mDeadline)
     return false;
   Run(aNow, aWaiting);
--- a/Libraries/LibOnce/OnceRequest.h
+++ b/Libraries/LibOnce/OnceRequest.h
@@ -10,7 +10,7 @@
 
 namespace lycheeseam {
 
-/// A request as far as running it at most once is concerned.
+/// The properties of a request that once_gate decides by.
 struct once_request
 {
   request_id mId;
@@ -19,7 +19,7 @@
   std::optional<request_key> mKey;
   /// The digest of method, path and body.
   digest mFingerprint;
-  /// Until when the caller waits.
+  /// The time until which the caller waits for an answer.
   instant mDeadline;
 };
 
--- a/Libraries/LibOnce/OwnerLiveness.h
+++ b/Libraries/LibOnce/OwnerLiveness.h
@@ -6,8 +6,8 @@
 
 namespace lycheeseam {
 
-/// Tells whether one life of an instance may still be running. A wrong answer
-/// only changes what a repeat is told: nothing is run again on its strength.
+/// Whether an incarnation of an instance may still be running. A wrong answer
+/// only changes the refusal that a repeat gets; it never runs a request again.
 template<typename Liveness>
 concept owner_liveness = requires(Liveness const& aLiveness,
                                   instance_identity const& aIdentity)
--- a/Libraries/LibOnce/PermitClient.cpp
+++ b/Libraries/LibOnce/PermitClient.cpp
@@ -11,13 +11,13 @@
                      run_request const& aRequest,
                      poison_table const& aTable)
 {
-  if (aTable.IsRefused(aNow, aRequest.mAsk.mFingerprint)) {
+  if (aTable.IsRefused(aNow, aRequest.mPermitRequest.mFingerprint)) {
     Decide(aRequest, std::nullopt);
     return;
   }
-  asking_request& asking = mAsking[aRequest.mAsk.mRequest];
-  asking.mRequest = aRequest;
-  Ask(aNow, asking);
+  pending_request& pending = mPending[aRequest.mPermitRequest.mRequest];
+  pending.mRequest = aRequest;
+  RequestPermit(aNow, pending);
 }
 
 void
@@ -25,42 +25,42 @@
                         permit_answer const& aAnswer,
                         poison_table const& aTable)
 {
-  auto const found = mAsking.find(aAnswer.mRequest);
-  if (found == mAsking.end()) {
-    // A permit that comes after the request went on or was refused.
+  auto const found = mPending.find(aAnswer.mRequest);
+  if (found == mPending.end()) {
+    // The answer came after the request was decided without it.
     return;
   }
-  asking_request& asking = found->second;
-  digest const& fingerprint = asking.mRequest.mAsk.mFingerprint;
+  pending_request& pending = found->second;
+  digest const& fingerprint = pending.mRequest.mPermitRequest.mFingerprint;
   if (aTable.Crashes(aNow, fingerprint).size() > aAnswer.mCrashes) {
-    // The home did not know of a crash that this instance knows of; by now it
-    // does, or soon will.
-    mEnds.push_back(
+    // The owner decided before it received a report of a crash that this
+    // instance has received. The request is sent again after a delay.
+    mPermitReturns.push_back(
       { .mRequest = aAnswer.mRequest, .mFingerprint = fingerprint });
-    asking.mIsAnswered = true;
-    asking.mWakeAt =
-      std::min(aNow + mTiming.mWaitPause, asking.mRequest.mDeadline);
+    pending.mIsAnswered = true;
+    pending.mWakeAt =
+      std::min(aNow + mTiming.mRetryDelay, pending.mRequest.mDeadline);
     return;
   }
-  switch (aAnswer.mPermission) {
+  switch (aAnswer.mDecision) {
     case permit_decision::Granted:
-      Decide(asking.mRequest, asking.mRequest.mAsk.mServer);
-      mAsking.erase(found);
+      Decide(pending.mRequest, pending.mRequest.mPermitRequest.mServer);
+      mPending.erase(found);
       break;
     case permit_decision::Refused:
-      Decide(asking.mRequest, std::nullopt);
-      mAsking.erase(found);
+      Decide(pending.mRequest, std::nullopt);
+      mPending.erase(found);
       break;
     case permit_decision::UseFallback:
-      asking.mRequest.mAsk.mServer = asking.mRequest.mFallback;
-      Ask(aNow, asking);
+      pending.mRequest.mPermitRequest.mServer = pending.mRequest.mFallback;
+      RequestPermit(aNow, pending);
       break;
     case permit_decision::Wait:
-      asking.mIsAnswered = true;
-      asking.mWakeAt =
-        std::min(aNow + mTiming.mWaitPause, asking.mRequest.mDeadline);
-      if (Wake(aNow, asking, aTable))
-        mAsking.erase(found);
+      pending.mIsAnswered = true;
+      pending.mWakeAt =
+        std::min(aNow + mTiming.mRetryDelay, pending.mRequest.mDeadline);
+      if (Wake(aNow, pending, aTable))
+        mPending.erase(found);
       break;
   }
 }
@@ -71,12 +71,13 @@
   auto const found = mRunning.find(aRequest);
   if (found == mRunning.end())
     return;
-  mEnds.push_back({ .mRequest = aRequest,
-                    .mFingerprint = found->second.mFingerprint,
-                    .mResult = aResult });
+  mPermitReturns.push_back({ .mRequest = aRequest,
+                             .mFingerprint = found->second.mFingerprint,
+                             .mResult = aResult });
   if (aResult == run_result::Crashed)
-    mReports.push_back({ .mServer = found->second.mServer,
-                         .mFingerprints = { found->second.mFingerprint } });
+    mCrashReports.push_back(
+      { .mServer = found->second.mServer,
+        .mFingerprints = { found->second.mFingerprint } });
   mRunning.erase(found);
 }
 
@@ -84,17 +85,17 @@
 permit_client::Running() const
 {
   std::vector<permit_request> running;
-  for (auto const& [request, ask] : mRunning)
-    running.push_back(ask);
+  for (auto const& [request, permitRequest] : mRunning)
+    running.push_back(permitRequest);
   return running;
 }
 
 void
 permit_client::Tick(instant aNow, poison_table const& aTable)
 {
-  for (auto next = mAsking.begin(); next != mAsking.end();) {
-    bool const isOver = Wake(aNow, next->second, aTable);
-    next = isOver ? mAsking.erase(next) : std::next(next);
+  for (auto next = mPending.begin(); next != mPending.end();) {
+    bool const isDecided = Wake(aNow, next->second, aTable);
+    next = isDecided ? mPending.erase(next) : std::next(next);
   }
 }
 
@@ -102,27 +103,27 @@
 permit_client::NextWake() const
 {
   std::optional<instant> next;
-  for (auto const& [request, asking] : mAsking)
-    next = std::min(next.value_or(asking.mWakeAt), asking.mWakeAt);
+  for (auto const& [request, pending] : mPending)
+    next = std::min(next.value_or(pending.mWakeAt), pending.mWakeAt);
   return next;
 }
 
 std::vector<permit_request>
-permit_client::TakeAsks()
+permit_client::TakePermitRequests()
 {
-  return std::exchange(mAsks, {});
+  return std::exchange(mPermitRequests, {});
 }
 
 std::vector<permit_return>
-permit_client::TakeEnds()
+permit_client::TakePermitReturns()
 {
-  return std::exchange(mEnds, {});
+  return std::exchange(mPermitReturns, {});
 }
 
 std::vector<crash_report>
-permit_client::TakeReports()
+permit_client::TakeCrashReports()
 {
-  return std::exchange(mReports, {});
+  return std::exchange(mCrashReports, {});
 }
 
 std::vector<run_decision>
@@ -132,25 +133,25 @@
 }
 
 void
-permit_client::Ask(instant aNow, asking_request& aAsking)
+permit_client::RequestPermit(instant aNow, pending_request& aPending)
 {
-  aAsking.mIsAnswered = false;
-  aAsking.mWakeAt =
-    std::min(aNow + mTiming.mAskTimeout, aAsking.mRequest.mDeadline);
-  mAsks.push_back(aAsking.mRequest.mAsk);
+  aPending.mIsAnswered = false;
+  aPending.mWakeAt =
+    std::min(aNow + mTiming.mPermitTimeout, aPending.mRequest.mDeadline);
+  mPermitRequests.push_back(aPending.mRequest.mPermitRequest);
 }
 
 void
 permit_client::Decide(run_request const& aRequest,
                       std::optional<server_identity> aServer)
 {
-  permit_request running = aRequest.mAsk;
+  permit_request running = aRequest.mPermitRequest;
   if (aServer) {
     running.mServer = *aServer;
     mRunning.insert_or_assign(running.mRequest, running);
   } else {
-    // The home may have granted a permit whose answer was lost.
-    mEnds.push_back(
+    // The owner may have granted a permit in an answer that was lost.
+    mPermitReturns.push_back(
       { .mRequest = running.mRequest, .mFingerprint = running.mFingerprint });
   }
   mDecisions.push_back(
@@ -159,25 +160,25 @@
 
 bool
 permit_client::Wake(instant aNow,
-                    asking_request& aAsking,
+                    pending_request& aPending,
                     poison_table const& aTable)
 {
-  if (aNow < aAsking.mWakeAt)
+  if (aNow < aPending.mWakeAt)
     return false;
-  run_request const& request = aAsking.mRequest;
+  run_request const& request = aPending.mRequest;
   bool const isSuspect =
-    !aTable.Crashes(aNow, request.mAsk.mFingerprint).empty();
+    !aTable.Crashes(aNow, request.mPermitRequest.mFingerprint).empty();
   if (aNow >= request.mDeadline) {
     Decide(request, std::nullopt);
     return true;
   }
-  if (!aAsking.mIsAnswered && !isSuspect) {
-    // No home answers. The fallback server is where all such runs go, so they
-    // cost that one server at the most.
+  if (!aPending.mIsAnswered && !isSuspect) {
+    // The owner does not answer. All runs without a permit go to the fallback
+    // server, so they crash at most that one server.
     Decide(request, request.mFallback);
     return true;
   }
-  Ask(aNow, aAsking);
+  RequestPermit(aNow, aPending);
   return false;
 }
 
--- a/Libraries/LibOnce/PermitClient.h
+++ b/Libraries/LibOnce/PermitClient.h
@@ -12,8 +12,9 @@
 
 namespace lycheeseam {
 
-/// Asks for permits for this instance's requests and keeps what runs on which
-/// server, to report it to all instances when the server crashes.
+/// Requests permits for this instance's requests from the fingerprints' owners,
+/// and records which server runs each request, to report it to all instances
+/// when the server crashes.
 class permit_client
 {
 public:
@@ -22,61 +23,65 @@
   {
   }
 
-  /// A request wants to run; its decision comes through TakeDecisions.
+  /// Requests a permit for a new request; TakeDecisions returns its decision.
   void Begin(instant aNow,
              run_request const& aRequest,
              poison_table const& aTable);
 
-  /// The home has answered.
+  /// Handles the answer of a fingerprint's owner.
   void OnAnswer(instant aNow,
                 permit_answer const& aAnswer,
                 poison_table const& aTable);
 
-  /// A request that was told to run has ended.
+  /// Records how a request that was decided to run on a server ended.
   void End(request_id const& aRequest, run_result aResult);
 
-  /// What runs here, to announce it to a home that has started anew.
+  /// Returns the running requests, to announce them to an owner that has
+  /// restarted.
   [[nodiscard]] std::vector<permit_request> Running() const;
 
-  /// Does what is due.
+  /// Sends again or decides the requests whose waiting time is over.
   void Tick(instant aNow, poison_table const& aTable);
 
-  /// When Tick has work next.
+  /// Returns the time at which Tick has work next.
   [[nodiscard]] std::optional<instant> NextWake() const;
 
-  /// Asks to send to the homes of their fallback servers, taken once.
-  [[nodiscard]] std::vector<permit_request> TakeAsks();
+  /// Returns the permit requests made since the last call, to send to the
+  /// fingerprints' owners.
+  [[nodiscard]] std::vector<permit_request> TakePermitRequests();
 
-  /// Ends to send to the same homes, taken once.
-  [[nodiscard]] std::vector<permit_return> TakeEnds();
+  /// Returns the permit returns made since the last call, to send to the same
+  /// owners.
+  [[nodiscard]] std::vector<permit_return> TakePermitReturns();
 
-  /// Crashes to tell all instances, this one too, at once; taken once.
-  [[nodiscard]] std::vector<crash_report> TakeReports();
+  /// Returns the crash reports made since the last call, to send at once to all
+  /// instances, including this one.
+  [[nodiscard]] std::vector<crash_report> TakeCrashReports();
 
-  /// Decisions, taken once.
+  /// Returns the decisions made since the last call.
   [[nodiscard]] std::vector<run_decision> TakeDecisions();
 
 private:
-  struct asking_request
+  struct pending_request
   {
     run_request mRequest;
     instant mWakeAt;
     bool mIsAnswered = false;
   };
 
-  void Ask(instant aNow, asking_request& aAsking);
+  void RequestPermit(instant aNow, pending_request& aPending);
   void Decide(run_request const& aRequest,
               std::optional<server_identity> aServer);
   [[nodiscard]] bool Wake(instant aNow,
-                          asking_request& aAsking,
+                          pending_request& aPending,
                           poison_table const& aTable);
 
   poison_timing mTiming;
-  std::map<request_id, asking_request> mAsking;
+  std::map<request_id, pending_request> mPending;
   std::map<request_id, permit_request> mRunning;
-  std::vector<permit_request> mAsks;
-  std::vector<permit_return> mEnds;
-  std::vector<crash_report> mReports;
+  std::vector<permit_request> mPermitRequests;
+  std::vector<permit_return> mPermitReturns;
+  std::vector<crash_report> mCrashReports;
   std::vector<run_decision> mDecisions;
 };
 
--- a/Libraries/LibOnce/PermitDecision.h
+++ b/Libraries/LibOnce/PermitDecision.h
@@ -2,15 +2,15 @@
 
 namespace lycheeseam {
 
-/// A home's word on a run ask.
+/// The decision of a fingerprint's owner on a permit_request.
 enum class permit_decision
 {
   Granted,
-  /// Ask again, for the fallback server.
+  /// Send the request again, for the fallback server.
   UseFallback,
-  /// Ask again later: as many servers run it as it may cost.
+  /// Send the request again later: other runs must end first.
   Wait,
-  /// It has crashed two servers.
+  /// The fingerprint has crashed two servers.
   Refused,
 };
 
--- a/Libraries/LibOnce/PermitIssuer.cpp
+++ b/Libraries/LibOnce/PermitIssuer.cpp
@@ -6,53 +6,61 @@
 namespace lycheeseam {
 
 permit_answer
-permit_issuer::OnAsk(instant aNow,
-                     permit_request const& aAsk,
-                     poison_table const& aTable)
+permit_issuer::OnRequest(instant aNow,
+                         permit_request const& aPermitRequest,
+                         poison_table const& aTable)
 {
   Expire(aNow);
-  permit_decision const permission = Decide(aNow, aAsk, aTable);
-  if (permission == permit_decision::Granted)
-    mRunning[aAsk.mFingerprint].insert_or_assign(
-      aAsk.mRequest, permit{ .mOwner = aAsk.mFrom, .mServer = aAsk.mServer });
-  return { .mRequest = aAsk.mRequest,
-           .mPermission = permission,
-           .mCrashes = aTable.Crashes(aNow, aAsk.mFingerprint).size() };
+  permit_decision const decision = Decide(aNow, aPermitRequest, aTable);
+  if (decision == permit_decision::Granted)
+    mRunning[aPermitRequest.mFingerprint].insert_or_assign(
+      aPermitRequest.mRequest,
+      permit{ .mHolder = aPermitRequest.mFrom,
+              .mServer = aPermitRequest.mServer });
+  return { .mRequest = aPermitRequest.mRequest,
+           .mDecision = decision,
+           .mCrashes =
+             aTable.Crashes(aNow, aPermitRequest.mFingerprint).size() };
 }
 
 void
-permit_issuer::OnAnnounced(permit_request const& aAsk)
+permit_issuer::OnAnnounced(permit_request const& aPermitRequest)
 {
-  mRunning[aAsk.mFingerprint].insert_or_assign(
-    aAsk.mRequest, permit{ .mOwner = aAsk.mFrom, .mServer = aAsk.mServer });
+  mRunning[aPermitRequest.mFingerprint].insert_or_assign(
+    aPermitRequest.mRequest,
+    permit{ .mHolder = aPermitRequest.mFrom,
+            .mServer = aPermitRequest.mServer });
 }
 
 std::optional<suspicion_cleared>
-permit_issuer::OnEnd(instant aNow,
-                     permit_return const& aEnd,
-                     poison_table& aTable)
+permit_issuer::OnReturn(instant aNow,
+                        permit_return const& aPermitReturn,
+                        poison_table& aTable)
 {
-  auto const found = mRunning.find(aEnd.mFingerprint);
+  auto const found = mRunning.find(aPermitReturn.mFingerprint);
   if (found == mRunning.end())
     return std::nullopt;
-  auto const ended = found->second.find(aEnd.mRequest);
+  auto const ended = found->second.find(aPermitReturn.mRequest);
   if (ended == found->second.end())
     return std::nullopt;
   server_identity const server = ended->second.mServer;
   found->second.erase(ended);
   if (found->second.empty())
     mRunning.erase(found);
-  // The end may overtake the report of the crash; between them the permit
-  // must not look as if it had ended well.
-  if (aEnd.mResult == run_result::Crashed)
+  // The permit may be returned before the report of the crash arrives. The
+  // crash is counted now, or until then the run would seem to have ended
+  // without one.
+  if (aPermitReturn.mResult == run_result::Crashed)
     aTable.OnCrash(
-      aNow, { .mServer = server, .mFingerprints = { aEnd.mFingerprint } });
-  bool const isCleared = aEnd.mResult == run_result::Completed &&
-                         !aTable.Crashes(aNow, aEnd.mFingerprint).empty();
+      aNow,
+      { .mServer = server, .mFingerprints = { aPermitReturn.mFingerprint } });
+  bool const isCleared =
+    aPermitReturn.mResult == run_result::Completed &&
+    !aTable.Crashes(aNow, aPermitReturn.mFingerprint).empty();
   if (!isCleared)
     return std::nullopt;
-  aTable.Clear(aEnd.mFingerprint);
-  return suspicion_cleared{ .mFingerprint = aEnd.mFingerprint };
+  aTable.Clear(aPermitReturn.mFingerprint);
+  return suspicion_cleared{ .mFingerprint = aPermitReturn.mFingerprint };
 }
 
 std::optional<crash_report>
@@ -61,30 +69,30 @@
                        poison_table& aTable)
 {
   aTable.OnCrash(aNow, aReport);
-  crash_report untold{ .mServer = aReport.mServer };
+  crash_report unreported{ .mServer = aReport.mServer };
   for (auto& [fingerprint, running] : mRunning) {
     std::size_t const ended = std::erase_if(running, [&](auto const& aEntry) {
       return aEntry.second.mServer == aReport.mServer;
     });
-    bool const isTold =
+    bool const isReported =
       aTable.Crashes(aNow, fingerprint).contains(aReport.mServer);
-    if (ended > 0 && !isTold)
-      untold.mFingerprints.push_back(fingerprint);
+    if (ended > 0 && !isReported)
+      unreported.mFingerprints.push_back(fingerprint);
   }
   std::erase_if(mRunning,
                 [](auto const& aEntry) { return aEntry.second.empty(); });
-  if (untold.mFingerprints.empty())
+  if (unreported.mFingerprints.empty())
     return std::nullopt;
-  aTable.OnCrash(aNow, untold);
-  return untold;
+  aTable.OnCrash(aNow, unreported);
+  return unreported;
 }
 
 void
-permit_issuer::OnInstanceGone(instant aNow, instance_identity const& aIdentity)
+permit_issuer::OnInstanceEnded(instant aNow, instance_identity const& aIdentity)
 {
   for (auto& [fingerprint, running] : mRunning) {
     for (auto& [request, permit] : running) {
-      if (permit.mOwner == aIdentity && !permit.mOrphanedUntil)
+      if (permit.mHolder == aIdentity && !permit.mOrphanedUntil)
         permit.mOrphanedUntil = aNow + mTiming.mOrphanTime;
     }
   }
@@ -93,26 +101,27 @@
 void
 permit_issuer::Expire(instant aNow)
 {
-  auto const isOver = [aNow](auto const& aEntry) {
+  auto const isExpired = [aNow](auto const& aEntry) {
     std::optional<instant> const& until = aEntry.second.mOrphanedUntil;
     return until && aNow >= *until;
   };
   for (auto& [fingerprint, running] : mRunning)
-    std::erase_if(running, isOver);
+    std::erase_if(running, isExpired);
   std::erase_if(mRunning,
                 [](auto const& aEntry) { return aEntry.second.empty(); });
 }
 
 std::set<backend_server_id>
-permit_issuer::Occupied(permit_request const& aAsk) const
+permit_issuer::OtherServers(permit_request const& aPermitRequest) const
 {
   std::set<backend_server_id> servers;
-  auto const found = mRunning.find(aAsk.mFingerprint);
+  auto const found = mRunning.find(aPermitRequest.mFingerprint);
   if (found == mRunning.end())
     return servers;
-  // An ask whose answer was lost is asked again.
+  // A request whose answer was lost is sent again, so its own permit does not
+  // count.
   for (auto const& [request, permit] : found->second) {
-    if (request != aAsk.mRequest)
+    if (request != aPermitRequest.mRequest)
       servers.insert(permit.mServer.mServer);
   }
   return servers;
@@ -120,17 +129,17 @@
 
 bool
 permit_issuer::IsServerTakenBySuspect(instant aNow,
-                                      permit_request const& aAsk,
+                                      permit_request const& aPermitRequest,
                                       poison_table const& aTable) const
 {
   for (auto const& [fingerprint, running] : mRunning) {
     if (aTable.Crashes(aNow, fingerprint).empty())
       continue;
-    auto const isThere = [&aAsk](auto const& aEntry) {
-      return aEntry.first != aAsk.mRequest &&
-             aEntry.second.mServer.mServer == aAsk.mServer.mServer;
+    auto const isOnSameServer = [&aPermitRequest](auto const& aEntry) {
+      return aEntry.first != aPermitRequest.mRequest &&
+             aEntry.second.mServer.mServer == aPermitRequest.mServer.mServer;
     };
-    if (std::ranges::any_of(running, isThere))
+    if (std::ranges::any_of(running, isOnSameServer))
       return true;
   }
   return false;
@@ -138,24 +147,26 @@
 
 permit_decision
 permit_issuer::Decide(instant aNow,
-                      permit_request const& aAsk,
+                      permit_request const& aPermitRequest,
                       poison_table const& aTable) const
 {
-  std::size_t const crashes = aTable.Crashes(aNow, aAsk.mFingerprint).size();
-  if (crashes >= poison_table::kMostCrashes)
+  std::size_t const crashes =
+    aTable.Crashes(aNow, aPermitRequest.mFingerprint).size();
+  if (crashes >= poison_table::kMaxCrashes)
     return permit_decision::Refused;
-  std::set<backend_server_id> others = Occupied(aAsk);
+  std::set<backend_server_id> others = OtherServers(aPermitRequest);
   if (crashes > 0) {
-    if (aAsk.mServer.mServer != aAsk.mFallback)
+    if (aPermitRequest.mServer.mServer != aPermitRequest.mFallback)
       return permit_decision::UseFallback;
-    // One run at a time tells whether this request is the one that crashes.
+    // With one run at a time, a crash shows whether this request caused it.
     bool const isAlone =
-      others.empty() && !IsServerTakenBySuspect(aNow, aAsk, aTable);
+      others.empty() && !IsServerTakenBySuspect(aNow, aPermitRequest, aTable);
     return isAlone ? permit_decision::Granted : permit_decision::Wait;
   }
-  others.erase(aAsk.mFallback);
-  others.erase(aAsk.mServer.mServer);
-  bool const isFallback = aAsk.mServer.mServer == aAsk.mFallback;
+  others.erase(aPermitRequest.mFallback);
+  others.erase(aPermitRequest.mServer.mServer);
+  bool const isFallback =
+    aPermitRequest.mServer.mServer == aPermitRequest.mFallback;
   bool const isSettled = aNow >= mStartedAt + mTiming.mSettleTime;
   if (!isFallback && !(isSettled && others.empty()))
     return permit_decision::UseFallback;
--- a/Libraries/LibOnce/PermitIssuer.h
+++ b/Libraries/LibOnce/PermitIssuer.h
@@ -13,14 +13,16 @@
 
 namespace lycheeseam {
 
-/// Grants permits to run the fingerprints whose home this instance is, so that
-/// the crashes of a fingerprint and the servers that run it at one time are
-/// never more than two together, over the whole fleet.
+/// Grants permits to run the fingerprints that this instance owns, so that no
+/// request crashes more than two backend servers of the fleet. The crashes of a
+/// fingerprint plus the servers that run it at the same time are at most two.
 ///
-/// One server, the fallback, is the same for all instances and may run an
-/// unsuspected fingerprint without a permit, when the home does not answer; it
-/// is always counted. A suspect runs on its fallback only, and one suspect at
-/// a time: all fingerprints of one fallback share a home.
+/// The fallback server of a fingerprint is the same for all instances. It may
+/// run a fingerprint that is no suspect without a permit, when the owner does
+/// not answer, so it always counts as running it. A suspect, a fingerprint that
+/// ran on a server that crashed, runs on its fallback server only, and one
+/// suspect at a time. One instance can ensure this, since all fingerprints with
+/// the same fallback server have the same owner.
 class permit_issuer
 {
 public:
@@ -30,53 +32,55 @@
   {
   }
 
-  /// An instance runs a request already, under a permit of this home's earlier
-  /// life or of another home.
-  void OnAnnounced(permit_request const& aAsk);
+  /// Records a request that is already running, under a permit of an earlier
+  /// incarnation of this instance or of another owner.
+  void OnAnnounced(permit_request const& aPermitRequest);
 
-  /// Answers an ask.
-  permit_answer OnAsk(instant aNow,
-                      permit_request const& aAsk,
-                      poison_table const& aTable);
+  /// Answers a permit request.
+  permit_answer OnRequest(instant aNow,
+                          permit_request const& aPermitRequest,
+                          poison_table const& aTable);
 
-  /// Takes a permit back. A suspect that completed is cleared in the table;
-  /// the result is to be told to all instances.
-  std::optional<suspicion_cleared> OnEnd(instant aNow,
-                                         permit_return const& aEnd,
-                                         poison_table& aTable);
+  /// Takes a permit back. A suspect that completed is cleared in aTable; the
+  /// returned message is to be sent to all instances.
+  std::optional<suspicion_cleared> OnReturn(instant aNow,
+                                            permit_return const& aPermitReturn,
+                                            poison_table& aTable);
 
-  /// A server crashed. What had permits for it counts as having run there,
-  /// whether or not its sender lives to tell; the permits are over. Returns
-  /// what to tell all instances beyond the report, if anything.
+  /// Handles the crash of a server: ends the permits for it and counts the
+  /// crash against their fingerprints, even if their senders failed before they
+  /// reported it. Returns a report of the fingerprints that aReport lacks, to
+  /// be sent to all instances, or nothing.
   std::optional<crash_report> OnCrash(instant aNow,
                                       crash_report const& aReport,
                                       poison_table& aTable);
 
-  /// The lives of instances that are over leave their permits running for a
-  /// while: a server may still be at work for them.
-  void OnInstanceGone(instant aNow, instance_identity const& aIdentity);
+  /// Keeps the permits of an ended incarnation for mOrphanTime, since a server
+  /// may still be running their requests.
+  void OnInstanceEnded(instant aNow, instance_identity const& aIdentity);
 
-  /// Drops the permits whose time is over.
+  /// Drops the orphaned permits whose time is over.
   void Expire(instant aNow);
 
 private:
   struct permit
   {
-    instance_identity mOwner;
+    instance_identity mHolder;
     server_identity mServer;
     std::optional<instant> mOrphanedUntil;
   };
 
   using permits = std::map<request_id, permit>;
 
-  /// The servers of the other permits for the same fingerprint.
-  [[nodiscard]] std::set<backend_server_id> Occupied(
-    permit_request const& aAsk) const;
-  [[nodiscard]] bool IsServerTakenBySuspect(instant aNow,
-                                            permit_request const& aAsk,
-                                            poison_table const& aTable) const;
+  /// Returns the servers of the other permits for the same fingerprint.
+  [[nodiscard]] std::set<backend_server_id> OtherServers(
+    permit_request const& aPermitRequest) const;
+  [[nodiscard]] bool IsServerTakenBySuspect(
+    instant aNow,
+    permit_request const& aPermitRequest,
+    poison_table const& aTable) const;
   [[nodiscard]] permit_decision Decide(instant aNow,
-                                       permit_request const& aAsk,
+                                       permit_request const& aPermitRequest,
                                        poison_table const& aTable) const;
 
   poison_timing mTiming;
--- a/Libraries/LibOnce/PermitRequest.h
+++ b/Libraries/LibOnce/PermitRequest.h
@@ -6,7 +6,7 @@
 
 namespace lycheeseam {
 
-/// Asks a fingerprint's home for a permit to run it on a server.
+/// Requests a permit from a fingerprint's owner to run it on a server.
 struct permit_request
 {
   instance_identity mFrom;
@@ -14,8 +14,8 @@
   /// The digest of workspace and body.
   digest mFingerprint;
   server_identity mServer;
-  /// The server on which the fingerprint may run without a permit; every
-  /// instance names the same one.
+  /// The server on which the fingerprint may run without a permit; all
+  /// instances select the same one.
   backend_server_id mFallback;
 
   bool operator==(permit_request const&) const = default;
--- a/Libraries/LibOnce/PermitReturn.h
+++ b/Libraries/LibOnce/PermitReturn.h
@@ -6,7 +6,7 @@
 
 namespace lycheeseam {
 
-/// Gives a permit back: the request no longer runs.
+/// Returns a permit to the fingerprint's owner when the request has ended.
 struct permit_return
 {
   request_id mRequest;
--- a/Libraries/LibOnce/PoisonTable.cpp
+++ b/Libraries/LibOnce/PoisonTable.cpp
@@ -10,7 +10,7 @@
     if (aNow >= known.mUntil)
       known.mCrashes.clear();
     known.mCrashes.insert(aReport.mServer);
-    bool const isRefused = known.mCrashes.size() >= kMostCrashes;
+    bool const isRefused = known.mCrashes.size() >= kMaxCrashes;
     known.mUntil =
       aNow + (isRefused ? mTiming.mRefuseTime : mTiming.mSuspectTime);
   }
--- a/Libraries/LibOnce/PoisonTable.h
+++ b/Libraries/LibOnce/PoisonTable.h
@@ -9,38 +9,39 @@
 
 namespace lycheeseam {
 
-/// Which fingerprints were running when backend servers crashed. Every
-/// instance keeps one from the reports of all.
+/// Records which fingerprints were running when backend servers crashed, to
+/// refuse requests that crash servers. Every instance keeps one from the crash
+/// reports of all instances.
 class poison_table
 {
 public:
-  /// The crashes after which a fingerprint is refused.
-  static constexpr std::size_t kMostCrashes = 2;
+  /// The number of crashes at which a fingerprint is refused.
+  static constexpr std::size_t kMaxCrashes = 2;
 
   explicit poison_table(poison_timing aTiming)
     : mTiming(aTiming)
   {
   }
 
-  /// Counts a crash against each fingerprint of the report, once however many
-  /// report it.
+  /// Counts a crash against each fingerprint of the report, once even if
+  /// several instances report it.
   void OnCrash(instant aNow, crash_report const& aReport);
 
-  /// The lives of servers that count against a fingerprint.
+  /// Returns the crashed server incarnations that count against a fingerprint.
   [[nodiscard]] std::set<server_identity> Crashes(
     instant aNow,
     digest const& aFingerprint) const;
 
-  /// Whether the fingerprint is refused everywhere.
+  /// Whether the fingerprint is refused on all servers.
   [[nodiscard]] bool IsRefused(instant aNow, digest const& aFingerprint) const
   {
-    return Crashes(aNow, aFingerprint).size() >= kMostCrashes;
+    return Crashes(aNow, aFingerprint).size() >= kMaxCrashes;
   }
 
-  /// The fingerprint ran to its end as a suspect.
+  /// Clears a fingerprint that completed as a suspect.
   void Clear(digest const& aFingerprint) { mSuspicions.erase(aFingerprint); }
 
-  /// Forgets what no longer counts.
+  /// Drops the suspicions whose time is over.
   void Expire(instant aNow);
 
 private:
--- a/Libraries/LibOnce/RetryPolicy.cpp
+++ b/Libraries/LibOnce/RetryPolicy.cpp
@@ -4,24 +4,24 @@
 
 namespace {
 
-constexpr std::uint32_t kMostUnsentAttempts = 3;
-constexpr std::uint32_t kMostSentAttempts = 2;
+constexpr std::uint32_t kMaxUnsentAttempts = 3;
+constexpr std::uint32_t kMaxSentAttempts = 2;
 
 }
 
 retry_target
 RetryTargetFor(attempt_history const& aHistory)
 {
-  if (aHistory.mUnsent >= kMostUnsentAttempts)
+  if (aHistory.mUnsent >= kMaxUnsentAttempts)
     return retry_target::Nowhere;
   if (aHistory.mSent == 0)
     return retry_target::Anywhere;
   if (aHistory.mIdempotency == idempotency::NonIdempotent)
     return retry_target::Nowhere;
-  if (aHistory.mSent >= kMostSentAttempts)
+  if (aHistory.mSent >= kMaxSentAttempts)
     return retry_target::Nowhere;
-  // A part of the answer has gone to the caller; only a resumed stream may
-  // follow it, which is not a retry.
+  // The caller has received a part of the answer. Only a resumed stream can
+  // continue it, which is not a retry.
   if (aHistory.mFailure == attempt_failure::BrokenInAnswer)
     return retry_target::Nowhere;
   return retry_target::SameFailureDomain;
--- a/Libraries/LibOnce/RetryTarget.h
+++ b/Libraries/LibOnce/RetryTarget.h
@@ -2,7 +2,7 @@
 
 namespace lycheeseam {
 
-/// Where a failed request may be tried again.
+/// Where a failed request may be retried.
 enum class retry_target
 {
   Nowhere,
--- a/Libraries/LibOnce/RunDecision.h
+++ b/Libraries/LibOnce/RunDecision.h
@@ -6,7 +6,7 @@
 
 namespace lycheeseam {
 
-/// Where a request runs; nowhere when it is refused as not run.
+/// The server on which a request runs; none when it is refused as not run.
 struct run_decision
 {
   request_id mRequest;
--- a/Libraries/LibOnce/RunRequest.h
+++ b/Libraries/LibOnce/RunRequest.h
@@ -5,11 +5,11 @@
 
 namespace lycheeseam {
 
-/// A request that wants to run on a server, and until when it may wait.
+/// A request that is to run on a server, and its deadline.
 struct run_request
 {
-  permit_request mAsk;
-  /// The fallback server's life as this instance knows it.
+  permit_request mPermitRequest;
+  /// The fallback server with its incarnation, as far as this instance knows.
   server_identity mFallback;
   instant mDeadline;
 };
--- a/Libraries/LibOnce/RunResult.h
+++ b/Libraries/LibOnce/RunResult.h
@@ -2,14 +2,14 @@
 
 namespace lycheeseam {
 
-/// How a run under a permit ended.
+/// How a request ended on its server.
 enum class run_result
 {
-  /// The server gave its whole answer.
+  /// The server sent its complete answer.
   Completed,
   /// The server crashed.
   Crashed,
-  /// Not sent, cancelled or timed out: it proves nothing.
+  /// Not sent, cancelled or timed out: shows nothing about the fingerprint.
   Unknown,
 };
 
--- a/Libraries/LibOnce/SuspicionCleared.h
+++ b/Libraries/LibOnce/SuspicionCleared.h
@@ -4,8 +4,8 @@
 
 namespace lycheeseam {
 
-/// Tells all instances that a suspect ran to its end: a request that crashes
-/// its servers crashes each of them, so it was not this one.
+/// Reports to all instances that a suspect completed. A request that crashes
+/// servers crashes each of them, so this fingerprint caused no crash.
 struct suspicion_cleared
 {
   digest mFingerprint;
--- a/Libraries/LibRouter/InstanceStatus.cpp
+++ b/Libraries/LibRouter/InstanceStatus.cpp
@@ -40,7 +40,7 @@
 instance_status::Log(instant aNow) const
 {
   bool const isRecent = mTailReadAt && aNow - *mTailReadAt <= mLogBound;
-  return isRecent ? log_state::Reachable : log_state::Out;
+  return isRecent ? log_state::Reachable : log_state::Unreachable;
 }
 
 bool
--- a/Tests/LibOnce/PoisonFleet.h
+++ b/Tests/LibOnce/PoisonFleet.h
@@ -16,8 +16,9 @@
 
 namespace lycheeseam {
 
-/// Instances that send a few fingerprints again and again, one of them
-/// poisonous, with routers that restart and messages that are lost.
+/// Simulates instances that repeatedly send a few fingerprints, one of which
+/// crashes every server that runs it. Instances may restart and permit messages
+/// may be lost.
 class poison_fleet
 {
 public:
@@ -54,7 +55,7 @@
 
   int mCrashes = 0;
   int mCompleted = 0;
-  int mRefusedInnocent = 0;
+  int mRefusedHarmless = 0;
   int mSharedSuspects = 0;
 
 private:
@@ -67,8 +68,8 @@
   struct member
   {
     instance_identity mIdentity;
-    permit_client mGuard{ {} };
-    permit_issuer mHome{ {}, {} };
+    permit_client mPermitClient{ {} };
+    permit_issuer mIssuer{ {}, {} };
     poison_table mTable{ {} };
   };
 
@@ -77,10 +78,10 @@
     return std::bernoulli_distribution{ aShare }(mRandom);
   }
 
-  duration Time(int aLeast, int aMost)
+  duration RandomDuration(int aMin, int aMax)
   {
-    return milliseconds{ std::uniform_int_distribution<int>{ aLeast,
-                                                             aMost }(mRandom) };
+    return milliseconds{ std::uniform_int_distribution<int>{ aMin,
+                                                             aMax }(mRandom) };
   }
 
   static digest Fingerprint(int aNumber)
@@ -93,9 +94,9 @@
     return { aServer, incarnation{ mServers[aServer].mIncarnation } };
   }
 
-  void Later(std::function<void()> aAction)
+  void Schedule(std::function<void()> aAction)
   {
-    mEvents.emplace(mNow + Time(1, 4), std::move(aAction));
+    mEvents.emplace(mNow + RandomDuration(1, 4), std::move(aAction));
   }
 
   void Restart(std::size_t aMember)
@@ -104,18 +105,19 @@
     poison_table const table = mMembers[(aMember + 1) % kInstances].mTable;
     mMembers[aMember] = { .mIdentity = { old.mInstance,
                                          old.mIncarnation.Next() },
-                          .mHome = permit_issuer{ mNow, {} },
+                          .mIssuer = permit_issuer{ mNow, {} },
                           .mTable = table };
     for (member& other : mMembers) {
-      for (permit_request const& ask : other.mGuard.Running()) {
-        if (&HomeOf(ask.mFingerprint) == &mMembers[aMember])
-          Later([this, aMember, ask]() {
-            mMembers[aMember].mHome.OnAnnounced(ask);
+      for (permit_request const& permitRequest :
+           other.mPermitClient.Running()) {
+        if (&OwnerOf(permitRequest.mFingerprint) == &mMembers[aMember])
+          Schedule([this, aMember, permitRequest]() {
+            mMembers[aMember].mIssuer.OnAnnounced(permitRequest);
           });
       }
     }
     for (member& other : mMembers)
-      other.mHome.OnInstanceGone(mNow, old);
+      other.mIssuer.OnInstanceEnded(mNow, old);
   }
 
   void Send()
@@ -127,59 +129,65 @@
       FallbackServer(fingerprint, mServerNames);
     backend_server_id const chosen = mServerNames[mRandom() % kServers];
     member& sender = mMembers[who];
-    permit_request const ask{ .mFrom = sender.mIdentity,
-                              .mRequest =
-                                request_id{ "r" + std::to_string(++mRequests) },
-                              .mFingerprint = fingerprint,
-                              .mServer = IdentityOf(chosen),
-                              .mFallback = fallback };
-    mFingerprints[ask.mRequest] = fingerprint;
-    sender.mGuard.Begin(mNow,
-                        { .mAsk = ask,
-                          .mFallback = IdentityOf(fallback),
-                          .mDeadline = mNow + seconds{ 1 } },
-                        sender.mTable);
+    permit_request const permitRequest{
+      .mFrom = sender.mIdentity,
+      .mRequest = request_id{ "r" + std::to_string(++mRequests) },
+      .mFingerprint = fingerprint,
+      .mServer = IdentityOf(chosen),
+      .mFallback = fallback
+    };
+    mFingerprints[permitRequest.mRequest] = fingerprint;
+    sender.mPermitClient.Begin(mNow,
+                               { .mPermitRequest = permitRequest,
+                                 .mFallback = IdentityOf(fallback),
+                                 .mDeadline = mNow + seconds{ 1 } },
+                               sender.mTable);
   }
 
-  member& HomeOf(digest const& aFingerprint)
+  member& OwnerOf(digest const& aFingerprint)
   {
     backend_server_id const fallback =
       FallbackServer(aFingerprint, mServerNames);
-    instance_id const home = FingerprintOwnerFor(fallback, mNames);
-    return *std::ranges::find_if(mMembers, [&home](member const& aMember) {
-      return aMember.mIdentity.mInstance == home;
+    instance_id const owner = FingerprintOwnerFor(fallback, mNames);
+    return *std::ranges::find_if(mMembers, [&owner](member const& aMember) {
+      return aMember.mIdentity.mInstance == owner;
     });
   }
 
   void Step(std::size_t aMember)
   {
     member& self = mMembers[aMember];
-    self.mGuard.Tick(mNow, self.mTable);
-    for (permit_request const& ask : self.mGuard.TakeAsks())
-      Later([this, aMember, ask]() { DeliverAsk(aMember, ask); });
-    for (permit_return const& end : self.mGuard.TakeEnds())
-      Later([this, end]() {
-        member& home = HomeOf(end.mFingerprint);
-        if (home.mHome.OnEnd(mNow, end, home.mTable))
-          Clear(end.mFingerprint);
+    self.mPermitClient.Tick(mNow, self.mTable);
+    for (permit_request const& permitRequest :
+         self.mPermitClient.TakePermitRequests())
+      Schedule([this, aMember, permitRequest]() {
+        DeliverRequest(aMember, permitRequest);
+      });
+    for (permit_return const& permitReturn :
+         self.mPermitClient.TakePermitReturns())
+      Schedule([this, permitReturn]() {
+        member& owner = OwnerOf(permitReturn.mFingerprint);
+        if (owner.mIssuer.OnReturn(mNow, permitReturn, owner.mTable))
+          Clear(permitReturn.mFingerprint);
       });
-    for (crash_report const& report : self.mGuard.TakeReports())
+    for (crash_report const& report : self.mPermitClient.TakeCrashReports())
       Broadcast(report);
-    for (run_decision const& decision : self.mGuard.TakeDecisions())
+    for (run_decision const& decision : self.mPermitClient.TakeDecisions())
       Decide(aMember, decision);
   }
 
-  void DeliverAsk(std::size_t aMember, permit_request const& aAsk)
+  void DeliverRequest(std::size_t aMember, permit_request const& aPermitRequest)
   {
-    member& home = HomeOf(aAsk.mFingerprint);
+    member& owner = OwnerOf(aPermitRequest.mFingerprint);
     if (Chance(mLoss))
       return;
-    permit_answer const answer = home.mHome.OnAsk(mNow, aAsk, home.mTable);
+    permit_answer const answer =
+      owner.mIssuer.OnRequest(mNow, aPermitRequest, owner.mTable);
     if (Chance(mLoss))
       return;
-    Later([this, aMember, answer]() {
-      member& asker = mMembers[aMember];
-      asker.mGuard.OnAnswer(mNow, answer, asker.mTable);
+    Schedule([this, aMember, answer]() {
+      member& requester = mMembers[aMember];
+      requester.mPermitClient.OnAnswer(mNow, answer, requester.mTable);
     });
   }
 
@@ -188,13 +196,13 @@
     request_id const& id = aDecision.mRequest;
     bool const isPoison = mFingerprints.at(id) == Fingerprint(kPoison);
     if (!aDecision.mServer) {
-      mRefusedInnocent += isPoison ? 0 : 1;
+      mRefusedHarmless += isPoison ? 0 : 1;
       return;
     }
     poison_server& target = mServers[aDecision.mServer->mServer];
     if (mNow < target.mUpAt ||
         aDecision.mServer->mIncarnation.Value() != target.mIncarnation) {
-      mMembers[aMember].mGuard.End(id, run_result::Unknown);
+      mMembers[aMember].mPermitClient.End(id, run_result::Unknown);
       return;
     }
     poison_run const run{
@@ -205,11 +213,12 @@
       .mIsSuspect =
         !mMembers[aMember].mTable.Crashes(mNow, mFingerprints.at(id)).empty()
     };
-    NoteSuspects(target, run);
+    CountSharedSuspects(target, run);
     target.mRunning[id] = run;
     backend_server_id const name = aDecision.mServer->mServer;
     std::uint64_t const current = target.mIncarnation;
-    duration const span = isPoison ? Time(5, 150) : Time(20, 300);
+    duration const span =
+      isPoison ? RandomDuration(5, 150) : RandomDuration(20, 300);
     mEvents.emplace(mNow + span, [this, name, current, id, isPoison]() {
       if (mServers[name].mIncarnation != current)
         return;
@@ -220,7 +229,7 @@
     });
   }
 
-  void NoteSuspects(poison_server const& aServer, poison_run const& aRun)
+  void CountSharedSuspects(poison_server const& aServer, poison_run const& aRun)
   {
     for (auto const& [id, other] : aServer.mRunning) {
       bool const isOther = other.mFingerprint != aRun.mFingerprint;
@@ -235,7 +244,7 @@
     mServers[aServer].mRunning.erase(aId);
     ++mCompleted;
     if (mMembers[done.mMember].mIdentity == done.mIdentity)
-      mMembers[done.mMember].mGuard.End(aId, run_result::Completed);
+      mMembers[done.mMember].mPermitClient.End(aId, run_result::Completed);
   }
 
   void CrashServer(backend_server_id const& aServer)
@@ -246,32 +255,33 @@
     std::map<request_id, poison_run> const lost =
       std::exchange(crashed.mRunning, {});
     ++crashed.mIncarnation;
-    crashed.mUpAt = mNow + Time(200, 600);
-    // Each instance comes to see the server's new life.
+    crashed.mUpAt = mNow + RandomDuration(200, 600);
+    // Every instance observes the new incarnation of the server.
     Broadcast({ .mServer = identity });
     for (auto const& entry : lost)
-      Later([this, run = entry.second]() {
+      Schedule([this, run = entry.second]() {
         if (mMembers[run.mMember].mIdentity == run.mIdentity)
-          mMembers[run.mMember].mGuard.End(run.mRequest, run_result::Crashed);
+          mMembers[run.mMember].mPermitClient.End(run.mRequest,
+                                                  run_result::Crashed);
       });
   }
 
   void Clear(digest const& aFingerprint)
   {
     for (std::size_t i = 0; i < kInstances; ++i)
-      Later(
+      Schedule(
         [this, i, aFingerprint]() { mMembers[i].mTable.Clear(aFingerprint); });
   }
 
   void Broadcast(crash_report const& aReport)
   {
     for (std::size_t i = 0; i < kInstances; ++i)
-      Later([this, i, aReport]() {
+      Schedule([this, i, aReport]() {
         member& self = mMembers[i];
-        std::optional<crash_report> const untold =
-          self.mHome.OnCrash(mNow, aReport, self.mTable);
-        if (untold)
-          Broadcast(*untold);
+        std::optional<crash_report> const unreported =
+          self.mIssuer.OnCrash(mNow, aReport, self.mTable);
+        if (unreported)
+          Broadcast(*unreported);
       });
   }
 
--- a/Tests/LibOnce/PoisonRun.h
+++ b/Tests/LibOnce/PoisonRun.h
@@ -8,7 +8,7 @@
 
 namespace lycheeseam {
 
-/// A request that a server of a poison_fleet runs.
+/// A request that is running on a server of a poison_fleet.
 struct poison_run
 {
   std::size_t mMember = 0;
--- a/Tests/LibOnce/PoisonServer.h
+++ b/Tests/LibOnce/PoisonServer.h
@@ -8,7 +8,7 @@
 
 namespace lycheeseam {
 
-/// A server of a poison_fleet: its incarnation, and what it runs.
+/// A server of a poison_fleet, with its running requests.
 struct poison_server
 {
   std::uint64_t mIncarnation = 1;
--- a/Tests/LibOnce/PoisonTotals.h
+++ b/Tests/LibOnce/PoisonTotals.h
@@ -2,12 +2,12 @@
 
 namespace lycheeseam {
 
-/// What all schedules together showed.
+/// The results of all schedules of a test.
 struct poison_totals
 {
-  int mMostCrashes = 0;
+  int mMaxCrashes = 0;
   int mCompleted = 0;
-  int mRefusedInnocent = 0;
+  int mRefusedHarmless = 0;
   int mSharedSuspects = 0;
 };
 
--- a/Tests/LibOnce/TestClaimBatcher.cpp
+++ b/Tests/LibOnce/TestClaimBatcher.cpp
@@ -10,7 +10,7 @@
 instant const kNow{ std::chrono::seconds{ 9 } };
 instance_identity const kSelf{ instance_id{ "a" }, incarnation{ 1 } };
 
-TEST(TestClaimBatcher, GathersClaimsForItsDelay)
+TEST(TestClaimBatcher, BatchesClaimsUntilTheDelayHasPassed)
 {
   claim_batcher batcher{ kSelf, {} };
   for (std::uint64_t i = 0; i < 50; ++i)
@@ -27,9 +27,9 @@
   EXPECT_EQ(batcher.NextWake(), std::nullopt);
 }
 
-TEST(TestClaimBatcher, AFullBatchDoesNotWait)
+TEST(TestClaimBatcher, AppendsAFullBatchWithoutDelay)
 {
-  claim_batcher batcher{ kSelf, { .mMostEntries = 2 } };
+  claim_batcher batcher{ kSelf, { .mFlushEntries = 2 } };
   batcher.Add(kNow, request_claim{});
   batcher.Add(kNow, request_claim{});
   EXPECT_EQ(batcher.Due(kNow, log_offset{}).size(), 1U);
@@ -49,9 +49,9 @@
   EXPECT_EQ(batcher.NextWake(), std::nullopt);
 }
 
-TEST(TestClaimBatcher, LeavesALargeAnswerOut)
+TEST(TestClaimBatcher, DropsAnAnswerBodyAboveTheLimit)
 {
-  claim_batcher batcher{ kSelf, { .mLargestBody = 3 } };
+  claim_batcher batcher{ kSelf, { .mMaxBodyBytes = 3 } };
   batcher.Add(kNow, request_outcome{ .mBody = "long" });
   std::vector<log_record> const records =
     batcher.Due(kNow + milliseconds{ 20 }, log_offset{});
--- a/Tests/LibOnce/TestClaimFold.cpp
+++ b/Tests/LibOnce/TestClaimFold.cpp
@@ -57,7 +57,7 @@
   EXPECT_EQ(Holder(fold), instance_id{ "a" });
 }
 
-TEST(TestClaimFold, AReleaseCountsInEitherOrder)
+TEST(TestClaimFold, AReleaseCountsBeforeOrAfterItsClaim)
 {
   claim_fold after;
   after.Apply(Claim(1, "a", 1));
@@ -71,7 +71,9 @@
   EXPECT_EQ(Holder(before), instance_id{ "a" });
 }
 
-TEST(TestClaimFold, AReleasedClaimThatLandsTwiceStaysReleased)
+// An append that is retried may land twice. The second copy must not take the
+// key again, since its owner has given the request up.
+TEST(TestClaimFold, AReleasedClaimStaysReleasedWhenAppendedTwice)
 {
   claim_fold fold;
   fold.Apply(Claim(1, "a", 1));
@@ -80,7 +82,7 @@
   EXPECT_EQ(Holder(fold), instance_id{});
 }
 
-TEST(TestClaimFold, NobodyElseEndsAClaim)
+TEST(TestClaimFold, IgnoresOutcomesOfOtherOwners)
 {
   claim_fold fold;
   fold.Apply(Claim(1, "a", 1));
@@ -90,7 +92,7 @@
   EXPECT_FALSE(fold.Find(kKey)->mOutcome);
 }
 
-TEST(TestClaimFold, AnOutcomeIsFinal)
+TEST(TestClaimFold, IgnoresOutcomesAfterTheFirst)
 {
   claim_fold fold;
   fold.Apply(Claim(1, "a", 1));
@@ -100,16 +102,16 @@
   EXPECT_EQ(fold.Find(kKey)->mOutcome->mBody, "first");
 }
 
-TEST(TestClaimFold, RefusesAClaimBeyondItsLastOffset)
+TEST(TestClaimFold, IgnoresAClaimBeyondItsLastOffset)
 {
   claim_fold fold;
   fold.Apply(Claim(11, "a", 1, 10));
   EXPECT_EQ(Holder(fold), instance_id{});
 }
 
-TEST(TestClaimFold, ForgetsAfterItsWindowAndNeverBefore)
+TEST(TestClaimFold, ExpiresAClaimRightAfterItsWindow)
 {
-  claim_fold fold{ { .mOffsets = 100, .mMostClaims = 1 } };
+  claim_fold fold{ { .mOffsets = 100, .mMaxClaims = 1 } };
   fold.Apply(Claim(1, "a", 1));
   EXPECT_TRUE(fold.IsFull());
   fold.Apply({ .mOffset = log_offset{ 101 }, .mRecord = no_operation{} });
@@ -118,9 +120,9 @@
   EXPECT_EQ(fold.Size(), 0U);
 }
 
-TEST(TestClaimFold, DropsAnswersBeforeVerdicts)
+TEST(TestClaimFold, KeepsTheVerdictWhenItDropsTheAnswer)
 {
-  claim_fold fold{ { .mMostBodyBytes = 10 } };
+  claim_fold fold{ { .mMaxTotalBodyBytes = 10 } };
   fold.Apply(Claim(1, "a", 1));
   fold.Apply(Outcome(2, "a", 1, verdict::Ran, "a long answer"));
   EXPECT_EQ(fold.Find(kKey)->mOutcome->mVerdict, verdict::Ran);
--- a/Tests/LibOnce/TestOnceGate.cpp
+++ b/Tests/LibOnce/TestOnceGate.cpp
@@ -21,8 +21,9 @@
 constexpr int kKeys = 12;
 constexpr std::uint64_t kSchedules = 400;
 
-/// Gates of several instances over one log, with a backend server that counts
-/// how often each key runs. Everything fails at random.
+/// Simulates the gates of several instances over one log, with a backend server
+/// that counts how often each key runs. Instances pause and restart, the log is
+/// unreachable at times, and appends are lost, delayed or doubled, at random.
 class once_fleet
 {
 public:
@@ -44,14 +45,14 @@
       if (Chance(0.004))
         Crash();
       if (Chance(0.002))
-        mLogOutUntil = mNow + Time(100, 3000);
+        mLogOutageUntil = mNow + RandomDuration(100, 3000);
       for (std::size_t i = 0; i < kInstances; ++i)
         Step(i);
     }
   }
 
   std::map<request_key, int> mRuns;
-  int mUntrueNotRuns = 0;
+  int mFalseNotRuns = 0;
   int mReplays = 0;
   int mMayHaveRuns = 0;
 
@@ -69,10 +70,10 @@
     return std::bernoulli_distribution{ aShare }(mRandom);
   }
 
-  duration Time(int aLeast, int aMost)
+  duration RandomDuration(int aMin, int aMax)
   {
-    return milliseconds{ std::uniform_int_distribution<int>{ aLeast,
-                                                             aMost }(mRandom) };
+    return milliseconds{ std::uniform_int_distribution<int>{ aMin,
+                                                             aMax }(mRandom) };
   }
 
   bool IsAlive(instance_identity const& aIdentity) const
@@ -96,12 +97,12 @@
   {
     std::size_t const who = mRandom() % kInstances;
     if (Chance(0.5))
-      mMembers[who].mPausedUntil = mNow + Time(50, 4000);
+      mMembers[who].mPausedUntil = mNow + RandomDuration(50, 4000);
     else
       Start(who);
   }
 
-  // A caller repeats its few keys again and again over all instances.
+  // Sends a request with one of a few keys to a random instance.
   void Send()
   {
     member& target = mMembers[mRandom() % kInstances];
@@ -110,11 +111,11 @@
       .mId = request_id{ "r" + std::to_string(++mRequests) },
       .mIdempotency = idempotency::NonIdempotent,
       .mKey = request_key{ workspace_id{ "riga" }, idempotency_key{ key } },
-      .mDeadline = mNow + Time(50, 1500)
+      .mDeadline = mNow + RandomDuration(50, 1500)
     };
     mKeys[request.mId] = *request.mKey;
     log_state const log =
-      mNow < mLogOutUntil ? log_state::Out : log_state::Reachable;
+      mNow < mLogOutageUntil ? log_state::Unreachable : log_state::Reachable;
     if (mNow < target.mPausedUntil)
       return;
     target.mGate->Begin(mNow, request, log, Liveness());
@@ -131,7 +132,7 @@
     member& self = mMembers[aMember];
     if (mNow < self.mPausedUntil)
       return;
-    if (mNow >= mLogOutUntil && Chance(0.3))
+    if (mNow >= mLogOutageUntil && Chance(0.3))
       for (; self.mNext < mLog.size(); ++self.mNext)
         self.mGate->OnEntry(mLog[self.mNext]);
     self.mGate->Tick(mNow, Liveness());
@@ -142,16 +143,17 @@
       Decide(aMember, decision);
   }
 
-  // An append may be lost, land late, or land twice.
+  // Appends a record; it may be lost, land late or land twice.
   void Append(log_record const& aRecord)
   {
     int const copies = Chance(0.1) ? 2 : 1;
     for (int i = 0; i < copies; ++i) {
-      duration const delay = Chance(0.1) ? Time(500, 4000) : Time(1, 20);
+      duration const delay =
+        Chance(0.1) ? RandomDuration(500, 4000) : RandomDuration(1, 20);
       if (Chance(0.05))
         continue;
       mEvents.emplace(mNow + delay, [this, aRecord]() {
-        if (mNow < mLogOutUntil)
+        if (mNow < mLogOutageUntil)
           return;
         mLog.push_back(
           { .mOffset = log_offset{ mLog.size() + 1 }, .mRecord = aRecord });
@@ -164,14 +166,14 @@
     request_id const& id = aDecision.mId;
     mReplays += aDecision.mAction == once_action::Replay ? 1 : 0;
     mMayHaveRuns += aDecision.mAction == once_action::RefuseMayHaveRun ? 1 : 0;
-    if (aDecision.mAction == once_action::RefuseLogOut)
-      mToldNotRun.insert(id);
+    if (aDecision.mAction == once_action::RefuseLogUnreachable)
+      mReportedNotRun.insert(id);
     if (aDecision.mAction != once_action::Run)
       return;
     incarnation const current = mMembers[aMember].mIdentity.mIncarnation;
-    mEvents.emplace(mNow + Time(0, 5), [this, aMember, id, current]() {
-      Dispatch(aMember, id, current);
-    });
+    mEvents.emplace(
+      mNow + RandomDuration(0, 5),
+      [this, aMember, id, current]() { Dispatch(aMember, id, current); });
   }
 
   void Dispatch(std::size_t aMember,
@@ -193,9 +195,9 @@
       return;
     }
     ++mRuns[mKeys.at(aId)];
-    mUntrueNotRuns += mToldNotRun.contains(aId) ? 1 : 0;
+    mFalseNotRuns += mReportedNotRun.contains(aId) ? 1 : 0;
     verdict const end = Chance(0.2) ? verdict::MayHaveRun : verdict::Ran;
-    mEvents.emplace(mNow + Time(5, 400),
+    mEvents.emplace(mNow + RandomDuration(5, 400),
                     [this, aMember, aId, aIncarnation, end]() {
                       End(aMember, aId, aIncarnation, end);
                     });
@@ -213,16 +215,20 @@
 
   std::mt19937_64 mRandom;
   instant mNow{ seconds{ 100 } };
-  instant mLogOutUntil;
+  instant mLogOutageUntil;
   std::array<member, kInstances> mMembers;
   std::vector<log_entry> mLog;
   std::multimap<instant, std::function<void()>> mEvents;
   std::map<request_id, request_key> mKeys;
-  std::set<request_id> mToldNotRun;
+  std::set<request_id> mReportedNotRun;
   int mRequests = 0;
 };
 
-TEST(TestOnceGate, RunsEachKeyAtMostOnceAndNotRunIsTrue)
+// A request runs twice when two instances both act as the holder of its key,
+// after a doubled or late append, a pause between decision and dispatch, a
+// restart or an outage of the log. A request that was refused as not run must
+// not run later, since its caller may send it again.
+TEST(TestOnceGate, RunsEachKeyAtMostOnceAndNeverRunsARequestReportedNotRun)
 {
   int runs = 0;
   int replays = 0;
@@ -236,7 +242,7 @@
       doubles += count > 1 ? 1 : 0;
       runs += count;
     }
-    EXPECT_EQ(fleet.mUntrueNotRuns, 0) << "seed " << seed;
+    EXPECT_EQ(fleet.mFalseNotRuns, 0) << "seed " << seed;
     replays += fleet.mReplays;
     mayHaveRuns += fleet.mMayHaveRuns;
   }
@@ -246,7 +252,7 @@
             << mayHaveRuns << " doubled " << doubles << '\n';
 }
 
-TEST(TestOnceGate, WithoutAKeyNoClaimIsMade)
+TEST(TestOnceGate, RunsWithoutAClaimWhenTheRequestHasNoKey)
 {
   once_gate gate{ { instance_id{ "a" }, incarnation{ 1 } }, {}, {} };
   auto const nobody = [](instance_identity const&) { return false; };
@@ -254,13 +260,13 @@
   gate.Begin(
     now,
     { .mId = request_id{ "r" }, .mIdempotency = idempotency::NonIdempotent },
-    log_state::Out,
+    log_state::Unreachable,
     nobody);
   EXPECT_EQ(gate.TakeDecisions().front().mAction, once_action::Run);
   EXPECT_TRUE(gate.TakeRecords(now + seconds{ 1 }, log_offset{ 1 }).empty());
 }
 
-TEST(TestOnceGate, RefusesAsNotRunWhileTheLogIsOut)
+TEST(TestOnceGate, RefusesAsNotRunWhileTheLogIsUnreachable)
 {
   once_gate gate{ { instance_id{ "a" }, incarnation{ 1 } }, {}, {} };
   auto const nobody = [](instance_identity const&) { return false; };
@@ -269,9 +275,10 @@
     { .mId = request_id{ "r" },
       .mIdempotency = idempotency::NonIdempotent,
       .mKey = request_key{ workspace_id{ "w" }, idempotency_key{ "k" } } },
-    log_state::Out,
+    log_state::Unreachable,
     nobody);
-  EXPECT_EQ(gate.TakeDecisions().front().mAction, once_action::RefuseLogOut);
+  EXPECT_EQ(gate.TakeDecisions().front().mAction,
+            once_action::RefuseLogUnreachable);
 }
 
 }
--- a/Tests/LibOnce/TestRetryPolicy.cpp
+++ b/Tests/LibOnce/TestRetryPolicy.cpp
@@ -5,7 +5,7 @@
 namespace lycheeseam {
 namespace {
 
-TEST(TestRetryPolicy, NonIdempotentWorkIsRetriedOnlyWhenNothingWasSent)
+TEST(TestRetryPolicy, NonIdempotentRequestIsRetriedOnlyWhenNothingWasSent)
 {
   attempt_history history{ .mIdempotency = idempotency::NonIdempotent,
                            .mFailure = attempt_failure::NotSent,
@@ -18,7 +18,7 @@
   EXPECT_EQ(VerdictFor(history), verdict::MayHaveRun);
 }
 
-TEST(TestRetryPolicy, IdempotentWorkIsRetriedOnceInItsFailureDomain)
+TEST(TestRetryPolicy, IdempotentRequestIsRetriedOnceInItsFailureDomain)
 {
   attempt_history history{ .mIdempotency = idempotency::Idempotent,
                            .mFailure = attempt_failure::BrokenBeforeAnswer,
@@ -36,7 +36,7 @@
   EXPECT_EQ(RetryTargetFor(history), retry_target::Nowhere);
 }
 
-TEST(TestRetryPolicy, ABrokenAnswerIsNotRetried)
+TEST(TestRetryPolicy, DoesNotRetryAfterPartOfTheAnswerWasForwarded)
 {
   attempt_history const history{ .mIdempotency = idempotency::Idempotent,
                                  .mFailure = attempt_failure::BrokenInAnswer,
