--- a/Libraries/LibOrders/EngineState.h
+++ b/Libraries/LibOrders/EngineState.h
@@ -4,12 +4,12 @@
 
 namespace lycheeseam {
 
-/// What one engine reports about its weights.
+/// The weights that one engine reports.
 struct engine_state
 {
   backend_server_id mServer;
   weights_version mLoaded;
-  /// The weights being loaded; empty when none are.
+  /// The weights that the engine is loading; empty when it loads none.
   weights_version mLoading;
 };
 
--- a/Libraries/LibOrders/Lease.h
+++ b/Libraries/LibOrders/Lease.h
@@ -6,12 +6,13 @@
 
 namespace lycheeseam {
 
-/// The grant under which orders may be given to one pool's engines.
+/// The right of one instance to give orders to the engines of a pool, until its
+/// term ends.
 struct lease
 {
   instance_identity mHolder;
   proposal_id mProposal;
-  /// The grant's offset: the fencing number of its orders.
+  /// The log offset of the grant, which is the fencing number of its orders.
   log_offset mGrant;
   duration mTerm{ 0 };
 
--- a/Libraries/LibOrders/LeaseFold.cpp
+++ b/Libraries/LibOrders/LeaseFold.cpp
@@ -12,10 +12,11 @@
   if (grant == nullptr || aEntry.mOffset > grant->mOrigin.mLastOffset)
     return;
   lease const* const current = Find(grant->mPool);
-  log_offset const standing =
+  log_offset const currentGrant =
     current == nullptr ? log_offset{} : current->mGrant;
-  // Of several candidates that saw the same grant, the first wins.
-  if (grant->mBase != standing)
+  // Of several candidates that replace the same grant, the first in the log
+  // wins.
+  if (grant->mBase != currentGrant)
     return;
   mLeases[grant->mPool] = { .mHolder = { .mInstance = grant->mOrigin.mInstance,
                                          .mIncarnation =
--- a/Libraries/LibOrders/LeaseFold.h
+++ b/Libraries/LibOrders/LeaseFold.h
@@ -7,15 +7,15 @@
 
 namespace lycheeseam {
 
-/// The newest lease of each pool, as of the entries applied. The log knows no
-/// time: who may replace a lease, and when, is lease_holder's to decide.
+/// Derives the newest lease of each pool from the log. The log holds no times:
+/// lease_holder decides when a lease may be replaced.
 class lease_fold
 {
 public:
-  /// Takes the next entry in log order.
+  /// Applies the next entry in log order.
   void Apply(log_entry const& aEntry);
 
-  /// The pool's newest lease, or null.
+  /// Returns the newest lease of the pool, or null.
   [[nodiscard]] lease const* Find(pool_name const& aPool) const;
 
 private:
--- a/Libraries/LibOrders/LeaseHolder.cpp
+++ b/Libraries/LibOrders/LeaseHolder.cpp
@@ -20,9 +20,9 @@
   lease const* const current = aLeases.Find(mPool);
   bool const isNew =
     current != nullptr && (!mLease || mLease->mGrant != current->mGrant);
-  if (!mHasLooked || isNew)
+  if (!mHasRead || isNew)
     mReadAt = aNow;
-  mHasLooked = true;
+  mHasRead = true;
   if (!isNew)
     return;
   mLease = *current;
@@ -35,9 +35,9 @@
                   std::uint32_t aRank,
                   log_offset aTail)
 {
-  bool const isOnItsWay =
+  bool const isAppendPending =
     mAppendedAt && aNow < *mAppendedAt + mTiming.mAppendPause;
-  if (!mHasLooked || isOnItsWay || aNow < NextGrantAt(aFencing, aRank))
+  if (!mHasRead || isAppendPending || aNow < NextGrantAt(aFencing, aRank))
     return std::nullopt;
   mAppendedAt = aNow;
   ++mGrants;
@@ -45,7 +45,8 @@
     "lease-" + mPool.Text() + "-" + mSelf.mInstance.Text() + "-" +
     std::to_string(mSelf.mIncarnation.Value()) + "-" + std::to_string(mGrants);
   proposal_id const proposal{ name };
-  // A grant that lands after its term is worth nothing to anyone.
+  // A grant that lands after its term gives no right to order, so the time at
+  // which it was sent is no longer needed.
   std::erase_if(mSentAt, [&](auto const& aEntry) {
     return aNow >= aEntry.second + mTiming.mTerm;
   });
@@ -86,8 +87,8 @@
     return mReadAt + rankDelay;
   if (IsOwn())
     return mSentAt.at(mLease->mProposal) + mLease->mTerm / 2;
-  int const waits = aFencing == fencing_support::Checked ? 1 : 2;
-  return mReadAt + waits * mLease->mTerm + rankDelay;
+  int const terms = aFencing == fencing_support::Checked ? 1 : 2;
+  return mReadAt + terms * mLease->mTerm + rankDelay;
 }
 
 }
--- a/Libraries/LibOrders/LeaseTiming.h
+++ b/Libraries/LibOrders/LeaseTiming.h
@@ -6,19 +6,20 @@
 
 namespace lycheeseam {
 
-/// How leases are taken and kept.
+/// How leases are acquired and renewed.
 struct lease_timing
 {
-  /// How long a lease lasts, from before its grant was appended.
+  /// How long a lease lasts, counted from before its grant was appended.
   std::chrono::milliseconds mTerm{ 6'000 };
-  /// How long before its end a holder stops giving orders: the time that an
-  /// order may be on its way, and the drift of two clocks.
+  /// How long before the end of the lease its holder stops giving orders. It
+  /// covers the delivery time of an order and the drift between two clocks.
   duration mMargin = std::chrono::milliseconds{ 500 };
-  /// How long an append may be on its way until it is tried again.
+  /// The time after which another grant is appended if one was not read back.
   duration mAppendPause = std::chrono::seconds{ 1 };
-  /// How much longer each further candidate waits.
+  /// The additional wait of a candidate for each candidate before it.
   duration mRankDelay = std::chrono::seconds{ 1 };
-  /// How many further entries of the log a grant counts for.
+  /// A grant that lands more than this many entries after the newest known
+  /// offset is ignored.
   std::uint64_t mGrantOffsets = 1'000;
 };
 
--- a/Libraries/LibOrders/OrderPlanner.h
+++ b/Libraries/LibOrders/OrderPlanner.h
@@ -11,10 +11,11 @@
 
 namespace lycheeseam {
 
-/// Plans the weight loads of one pool, never more at once than its row allows.
+/// Plans which engines of a pool load its weights, with at most as many
+/// concurrent loads as the pool's row allows.
 ///
-/// An order without an answer counts as loading, since it may have taken
-/// effect, until the engine reports the weights or the wait is over.
+/// An engine with an unconfirmed order counts as loading, since the order may
+/// have taken effect, until it reports the weights or the wait is over.
 class order_planner
 {
 public:
@@ -23,7 +24,7 @@
   {
   }
 
-  /// The orders to send now. Only engines that have reported get one.
+  /// Returns the orders to send now, only for engines that have reported.
   std::vector<engine_order> Plan(instant aNow,
                                  pool_row const& aPool,
                                  std::span<engine_state const> aEngines,
--- a/Tests/LibOrders/TestLeaseHolder.cpp
+++ b/Tests/LibOrders/TestLeaseHolder.cpp
@@ -18,8 +18,10 @@
 constexpr std::size_t kInstances = 3;
 constexpr std::uint64_t kSchedules = 300;
 
-/// Candidates for one pool's lease that pause and restart, and an engine that
-/// ignores fencing numbers; orders take up to the margin to arrive.
+/// Simulates candidates for one pool's lease that pause and restart, and an
+/// engine that checks or ignores fencing numbers. Appends may be lost or
+/// delayed, and an order takes up to 400 ms to arrive, which is less than the
+/// margin of the lease.
 class lease_fleet
 {
 public:
@@ -36,13 +38,14 @@
     for (instant const end = mNow + aSpan; mNow < end;
          mNow += milliseconds{ 20 }) {
       while (!mOrders.empty() && mOrders.begin()->first <= mNow)
-        Obey(mOrders.extract(mOrders.begin()).mapped());
+        Execute(mOrders.extract(mOrders.begin()).mapped());
       while (!mAppends.empty() && mAppends.begin()->first <= mNow)
         mLog.push_back(
           { .mOffset = log_offset{ mLog.size() + 1 },
             .mRecord = mAppends.extract(mAppends.begin()).mapped() });
       if (Chance(0.002))
-        mMembers[mRandom() % kInstances].mPausedUntil = mNow + Time(100, 30000);
+        mMembers[mRandom() % kInstances].mPausedUntil =
+          mNow + RandomDuration(100, 30000);
       if (Chance(0.001))
         Start(mRandom() % kInstances);
       for (std::size_t i = 0; i < kInstances; ++i)
@@ -50,8 +53,8 @@
     }
   }
 
-  int mObeyed = 0;
-  int mOldAfterNew = 0;
+  int mExecuted = 0;
+  int mStaleOrders = 0;
 
 private:
   struct member
@@ -68,10 +71,10 @@
     return std::bernoulli_distribution{ aShare }(mRandom);
   }
 
-  duration Time(int aLeast, int aMost)
+  duration RandomDuration(int aMin, int aMax)
   {
-    return milliseconds{ std::uniform_int_distribution<int>{ aLeast,
-                                                             aMost }(mRandom) };
+    return milliseconds{ std::uniform_int_distribution<int>{ aMin,
+                                                             aMax }(mRandom) };
   }
 
   void Start(std::size_t aMember)
@@ -101,23 +104,24 @@
                         static_cast<std::uint32_t>(aMember),
                         log_offset{ self.mNext });
     if (grant && !Chance(0.05))
-      mAppends.emplace(mNow + (Chance(0.1) ? Time(500, 9000) : Time(1, 30)),
+      mAppends.emplace(mNow + (Chance(0.1) ? RandomDuration(500, 9000)
+                                           : RandomDuration(1, 30)),
                        *grant);
     std::optional<fencing_number> const order = self.mHolder->MayOrder(mNow);
     if (order)
-      mOrders.emplace(mNow + Time(1, 400), *order);
+      mOrders.emplace(mNow + RandomDuration(1, 400), *order);
   }
 
-  void Obey(fencing_number aOrder)
+  void Execute(fencing_number aOrder)
   {
     bool const isOld = aOrder < mNewest;
     if (isOld && mFencing == fencing_support::Checked)
       return;
-    // A holder's own earlier grant is not another holder.
+    // An order under an earlier grant of the same holder is allowed.
     bool const isOtherHolder = isOld && HolderOf(aOrder) != HolderOf(mNewest);
-    mOldAfterNew += isOtherHolder ? 1 : 0;
+    mStaleOrders += isOtherHolder ? 1 : 0;
     mNewest = std::max(mNewest, aOrder);
-    ++mObeyed;
+    ++mExecuted;
   }
 
   instance_identity HolderOf(fencing_number aOrder)
@@ -138,27 +142,32 @@
 };
 
 void
-ExpectNoOldOrders(fencing_support aFencing)
+ExpectNoStaleOrders(fencing_support aFencing)
 {
-  int obeyed = 0;
+  int executedOrders = 0;
   for (std::uint64_t seed = 1; seed <= kSchedules; ++seed) {
     lease_fleet fleet{ seed, aFencing };
     fleet.Run(seconds{ 120 });
-    EXPECT_EQ(fleet.mOldAfterNew, 0) << "seed " << seed;
-    obeyed += fleet.mObeyed;
+    EXPECT_EQ(fleet.mStaleOrders, 0) << "seed " << seed;
+    executedOrders += fleet.mExecuted;
   }
-  EXPECT_GT(obeyed, static_cast<int>(kSchedules) * 1000);
-  std::cout << "orders obeyed: " << obeyed << '\n';
+  EXPECT_GT(executedOrders, static_cast<int>(kSchedules) * 1000);
+  std::cout << "orders executed: " << executedOrders << '\n';
 }
 
-TEST(TestLeaseHolder, AnEngineThatIgnoresFencingObeysNoOlderHolder)
+// A holder that resumes after a pause may send orders under a lease that
+// another instance has replaced. An engine that ignores fencing numbers would
+// execute them after orders of the new holder.
+TEST(TestLeaseHolder,
+     NoOrderOfAnEarlierHolderTakesEffectWhenTheEngineIgnoresFencing)
 {
-  ExpectNoOldOrders(fencing_support::Ignored);
+  ExpectNoStaleOrders(fencing_support::Ignored);
 }
 
-TEST(TestLeaseHolder, AnEngineThatChecksObeysNoOlderHolder)
+TEST(TestLeaseHolder,
+     NoOrderOfAnEarlierHolderTakesEffectWhenTheEngineChecksFencing)
 {
-  ExpectNoOldOrders(fencing_support::Checked);
+  ExpectNoStaleOrders(fencing_support::Checked);
 }
 
 }
--- a/Tests/LibOrders/TestOrderPlanner.cpp
+++ b/Tests/LibOrders/TestOrderPlanner.cpp
@@ -16,7 +16,8 @@
 
 constexpr duration kLoadTime = milliseconds{ 400 };
 
-/// Engines that load what they are told; a quarter of the orders is lost.
+/// Simulates engines that load the ordered weights; a quarter of the orders is
+/// lost.
 class loading_engines
 {
 public:
@@ -27,7 +28,7 @@
       mStates[i].mServer = backend_server_id{ "s" + std::to_string(i) };
   }
 
-  /// Ends the loads that are done; returns how many go on.
+  /// Completes the loads whose time is over; returns the number still running.
   std::size_t Advance(instant aNow)
   {
     std::size_t loading = 0;
@@ -39,7 +40,7 @@
     return loading;
   }
 
-  void Obey(instant aNow, engine_order const& aOrder)
+  void Execute(instant aNow, engine_order const& aOrder)
   {
     if (mRandom() % 4 == 0)
       return;
@@ -56,7 +57,7 @@
 };
 
 void
-ExpectStaggered(std::uint64_t aSeed)
+ExpectLimitedConcurrentLoads(std::uint64_t aSeed)
 {
   pool_row const pool{ .mWeights = weights_version{ "v2" },
                        .mMaxWeightLoads = 2 };
@@ -68,16 +69,18 @@
     std::vector<engine_order> const orders =
       planner.Plan(now, pool, engines.mStates, fencing_number{ 7 });
     for (engine_order const& order : orders)
-      engines.Obey(now, order);
+      engines.Execute(now, order);
   }
   for (engine_state const& engine : engines.mStates)
     EXPECT_EQ(engine.mLoaded, pool.mWeights) << "seed " << aSeed;
 }
 
-TEST(TestOrderPlanner, NeverLoadsMoreAtOnceThanTheRowAllows)
+// Guards against more concurrent loads than the pool's row allows, and against
+// engines that keep their old weights because an order to them was lost.
+TEST(TestOrderPlanner, KeepsConcurrentLoadsWithinTheLimitOfThePoolRow)
 {
   for (std::uint64_t seed = 1; seed <= 200; ++seed)
-    ExpectStaggered(seed);
+    ExpectLimitedConcurrentLoads(seed);
 }
 
 }
