--- a/Libraries/LibOnce/RunAsk.h
+++ b/Libraries/LibOnce/PermitRequest.h
@@ -6,19 +6,19 @@
 
 namespace lycheeseam {
 
-/// Asks a fingerprint's home for a permit to run it on a server.
-struct run_ask
+/// Requests a permit from a fingerprint's owner to run it on a server.
+struct permit_request
 {
   instance_identity mFrom;
   request_id mRequest;
   /// The digest of workspace and body.
   digest mFingerprint;
   server_identity mServer;
-  /// The server on which the fingerprint may run without a permit; every
-  /// instance names the same one.
+  /// The server on which the fingerprint may run without a permit; all
+  /// instances select the same one.
   backend_server_id mFallback;
 
-  bool operator==(run_ask const&) const = default;
+  bool operator==(permit_request const&) const = default;
 };
 
 }
--- a/Libraries/LibOnce/RetryPlace.h
+++ b/Libraries/LibOnce/RetryTarget.h
@@ -2,8 +2,8 @@
 
 namespace lycheeseam {
 
-/// Where a failed request may be tried again.
-enum class retry_place
+/// Where a failed request may be retried.
+enum class retry_target
 {
   Nowhere,
   /// On another backend server of the same failure domain.
