--- a/Libraries/LibFleet/FleetControl.h
+++ b/Libraries/LibFleet/FleetControl.h
@@ -99,12 +99,12 @@
   /// Takes what the traffic thread saw.
   void OnReport(traffic_report aReport)
   {
-    for (server_identity const& gone : aReport.mGone)
+    for (server_identity const& gone : aReport.mReplaced)
       mRecords.OnAbsent(gone);
     OnWeights(aReport.mWeights);
     mMetrics.Merge(aReport.mMetrics);
-    mSpent = std::move(aReport.mSpent);
-    mUsed = std::move(aReport.mUsed);
+    mSpent = std::move(aReport.mUsage);
+    mUsed = std::move(aReport.mWindowUsage);
     mLinks.Add({ .mCrashes = std::move(aReport.mCrashes),
                  .mHolders = std::move(aReport.mHolders) });
     ReportToPeers();
--- a/Libraries/LibFleet/FleetMetrics.cpp
+++ b/Libraries/LibFleet/FleetMetrics.cpp
@@ -49,7 +49,7 @@
   set("order_lease", static_cast<double>(aLease));
 }
 
-own_answer
+local_answer
 fleet_metrics::Answer(request_head const& aQuestion)
 {
   if (aQuestion.mMethod != "GET" || aQuestion.mTarget != "/metrics")
--- a/Libraries/LibFleet/FleetMetrics.h
+++ b/Libraries/LibFleet/FleetMetrics.h
@@ -2,7 +2,7 @@
 
 #include <LibCore/Instant.h>
 #include <LibDispatch/FleetView.h>
-#include <LibGateway/OwnAnswer.h>
+#include <LibGateway/LocalAnswer.h>
 #include <LibHttp/RequestHead.h>
 #include <LibMetrics/MetricsRecorder.h>
 #include <LibMetrics/MetricsStore.h>
@@ -26,7 +26,7 @@
   void Tick(instant aNow, fleet_view const& aView, std::uint64_t aLease);
 
   /// The answer to a question at the metrics address.
-  own_answer Answer(request_head const& aQuestion);
+  local_answer Answer(request_head const& aQuestion);
 
 private:
   void CountEvents();
--- a/Libraries/LibGateway/AdmitRequest.cpp
+++ b/Libraries/LibGateway/AdmitRequest.cpp
@@ -8,12 +8,14 @@
 
 namespace {
 
-// A starting instance has its first configuration within milliseconds.
-constexpr std::chrono::milliseconds kConfigWait{ 200 };
-constexpr std::chrono::milliseconds kPoisonWait{ 2'000 };
+// A new instance reads its first configuration within milliseconds of its
+// start.
+constexpr std::chrono::milliseconds kConfigRetryAfter{ 200 };
+constexpr std::chrono::milliseconds kPoisonRetryAfter{ 2'000 };
 
 std::optional<request_refusal>
-FindRows(request_properties const& aProperties, admitted_request& aAdmitted)
+FindRouteAndWorkspace(request_properties const& aProperties,
+                      admitted_request& aAdmitted)
 {
   dispatch_config const& config = *aAdmitted.mConfig;
   aAdmitted.mRoute = config.FindRoute(aProperties.mHost, aProperties.mPath);
@@ -69,13 +71,13 @@
 {
   aAdmitted.mConfig = aCore.View(aNow)->mConfig;
   if (!aAdmitted.mConfig)
-    return request_refusal{ .mRetryAfter = kConfigWait };
+    return request_refusal{ .mRetryAfter = kConfigRetryAfter };
   if (std::optional<request_refusal> const refusal =
-        FindRows(aProperties, aAdmitted))
+        FindRouteAndWorkspace(aProperties, aAdmitted))
     return refusal;
   aAdmitted.mFingerprint = RequestFingerprint(aProperties, aBody);
   if (aCore.Crashes().IsPoison(aNow, aAdmitted.mFingerprint))
-    return request_refusal{ .mRetryAfter = kPoisonWait };
+    return request_refusal{ .mRetryAfter = kPoisonRetryAfter };
   if (std::optional<request_refusal> const refusal =
         Charge(aCore, aNow, aProperties, aAdmitted))
     return refusal;
--- a/Libraries/LibGateway/AdmitRequest.h
+++ b/Libraries/LibGateway/AdmitRequest.h
@@ -10,8 +10,9 @@
 
 namespace lycheeseam {
 
-/// Finds the rows that a request runs under and charges its workspace. Fills
-/// aAdmitted as far as it gets; a refusal says why it got no further.
+/// Finds the route, workspace and pool of a request and charges the workspace's
+/// quota. Fills aAdmitted up to the step that refuses the request; returns the
+/// refusal, or nothing when the request is admitted.
 std::optional<request_refusal>
 AdmitRequest(traffic_core& aCore,
              instant aNow,
--- a/Libraries/LibGateway/AdmittedRequest.h
+++ b/Libraries/LibGateway/AdmittedRequest.h
@@ -8,19 +8,21 @@
 
 namespace lycheeseam {
 
-/// The rows that a request runs under, and what it was charged.
+/// The configuration rows that apply to a request, and what the request was
+/// charged.
 struct admitted_request
 {
-  /// Keeps the rows alive, which a newer configuration may lack.
+  /// Owns the rows below: a newer configuration may no longer contain them.
   std::shared_ptr<dispatch_config const> mConfig;
-  /// Null when the path leads nowhere.
+  /// Null when no route matches the request's host and path.
   dispatch_route const* mRoute = nullptr;
-  /// Null on routes open to all.
+  /// Null on public routes, for an unknown key, and when no workspace is
+  /// configured.
   dispatch_workspace const* mWorkspace = nullptr;
   pool_name mPool;
-  /// The charge, in the workspace's unit.
+  /// The charge, in the workspace's quota unit.
   double mUnits = 0;
-  /// Of path, key and body: tells requests apart that may crash servers.
+  /// Hash of path, key and body; identifies requests that may crash servers.
   std::uint64_t mFingerprint = 0;
   instant mDeadline{};
 };
--- a/Libraries/LibGateway/AnswerFormat.cpp
+++ b/Libraries/LibGateway/AnswerFormat.cpp
@@ -1,5 +1,5 @@
 #include <LibGateway/AnswerFormat.h>
-#include <LibGateway/OwnFraming.h>
+#include <LibGateway/ReframeAnswerHead.h>
 #include <LibHttp/FormatHead.h>
 
 namespace lycheeseam {
@@ -10,7 +10,7 @@
                     connection_use aUse)
 {
   mFraming = aFraming;
-  return FormatAnswerHead(OwnFraming(aHead, aFraming, aUse));
+  return FormatAnswerHead(ReframeAnswerHead(aHead, aFraming, aUse));
 }
 
 std::string_view
@@ -31,14 +31,14 @@
 }
 
 std::string
-answer_format::Whole(answer_head aHead,
-                     std::string_view aBody,
-                     connection_use aUse) const
+answer_format::CompleteAnswer(answer_head aHead,
+                              std::string_view aBody,
+                              connection_use aUse) const
 {
   if (!aHead.mLength || !mIsToHead)
     aHead.mLength = aBody.size();
   std::string bytes =
-    FormatAnswerHead(OwnFraming(aHead, body_framing::Sized, aUse));
+    FormatAnswerHead(ReframeAnswerHead(aHead, body_framing::Sized, aUse));
   bytes += aBody;
   return bytes;
 }
--- a/Libraries/LibGateway/AnswerFormat.h
+++ b/Libraries/LibGateway/AnswerFormat.h
@@ -9,29 +9,31 @@
 
 namespace lycheeseam {
 
-/// The bytes of one answer to a caller, in the framing of the caller's
+/// Formats one answer to a caller, in the body framing of the caller's
 /// connection.
 class answer_format
 {
 public:
-  /// The answer to HEAD tells the length of a body that it doesn't have.
+  /// Sets whether the answer is to a HEAD request: such an answer states the
+  /// length of a body that is not sent.
   void SetIsToHead(bool aIsToHead) noexcept { mIsToHead = aIsToHead; }
 
-  /// The bytes of a head whose body follows in pieces.
+  /// Formats a head whose body follows in pieces.
   std::string Head(answer_head const& aHead,
                    body_framing aFraming,
                    connection_use aUse);
 
-  /// The bytes of a piece; valid until the next call and as long as it.
+  /// Formats a piece of the body. The result is valid until the next call, and
+  /// no longer than aPiece is.
   std::string_view Piece(std::string_view aPiece);
 
-  /// What ends the body.
+  /// The bytes that end the body; empty when the head states its length.
   [[nodiscard]] std::string_view End() const;
 
-  /// The bytes of an answer whose body is known.
-  [[nodiscard]] std::string Whole(answer_head aHead,
-                                  std::string_view aBody,
-                                  connection_use aUse) const;
+  /// Formats an answer whose complete body is known.
+  [[nodiscard]] std::string CompleteAnswer(answer_head aHead,
+                                           std::string_view aBody,
+                                           connection_use aUse) const;
 
 private:
   body_framing mFraming = body_framing::Sized;
--- a/Libraries/LibGateway/AnswerRelay.h
+++ b/Libraries/LibGateway/AnswerRelay.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include <LibGateway/BodyFraming.h>
-#include <LibGateway/EventCutter.h>
+#include <LibGateway/EventSplitter.h>
 #include <LibHttp/AnswerHead.h>
 
 #include <cstdint>
@@ -12,86 +12,89 @@
 
 namespace lycheeseam {
 
-/// Passes a server's answer on to a caller so that it can still be replaced,
-/// or taken up by another server, for as long as possible: small answers are
-/// held until they are whole, streams are cut at the ends of their events.
+/// Passes a server's answer on to a caller so that another server can replace
+/// or continue it for as long as possible: small answers are buffered until
+/// they are complete, and event streams are sent only up to the end of an
+/// event.
 class answer_relay
 {
 public:
-  /// A server's answer begins. aIsEventStream says whether it is a stream
-  /// whose events may come from several servers. Does nothing when an earlier
-  /// server's head has gone to the caller.
+  /// Begins a server's answer. aIsEventStream is true for a stream whose events
+  /// may come from several servers. Does nothing when the caller has been sent
+  /// the head of an earlier server's answer.
   template<typename Caller>
   void Begin(Caller& aCaller, answer_head const& aHead, bool aIsEventStream)
   {
     if (mIsHeadSent)
       return;
     mIsEventStream = aIsEventStream;
-    mIsHeld = !aIsEventStream && aHead.mLength.value_or(0) <= kHeldBytes;
+    mIsBuffering =
+      !aIsEventStream && aHead.mLength.value_or(0) <= kMaxBufferedBytes;
     mHead = aHead;
-    if (!mIsHeld)
+    if (!mIsBuffering)
       SendHead(aCaller);
   }
 
-  /// A piece of the body came.
+  /// Handles a piece of the answer's body.
   template<typename Caller>
-  void Take(Caller& aCaller, std::string_view aPiece)
+  void RelayPiece(Caller& aCaller, std::string_view aPiece)
   {
-    if (mIsHeld) {
-      mHeld += aPiece;
-      if (mHeld.size() <= kHeldBytes)
+    if (mIsBuffering) {
+      mBuffered += aPiece;
+      if (mBuffered.size() <= kMaxBufferedBytes)
         return;
-      // An answer of unknown length that grew too large to be held.
-      mIsHeld = false;
+      // An answer of unknown length has grown too large to buffer.
+      mIsBuffering = false;
       SendHead(aCaller);
-      return aCaller.SendPiece(std::exchange(mHeld, {}));
+      return aCaller.SendPiece(std::exchange(mBuffered, {}));
     }
     if (!mIsEventStream)
       return aCaller.SendPiece(aPiece);
-    std::string const events = mEvents.Cut(aPiece);
+    std::string const events = mEvents.Split(aPiece);
     if (!events.empty())
       aCaller.SendPiece(events);
   }
 
-  /// The answer is whole.
+  /// Sends the rest of an answer that is complete.
   template<typename Caller>
   void Finish(Caller& aCaller)
   {
-    if (mIsHeld)
-      return aCaller.SendWhole(mHead, mHeld);
+    if (mIsBuffering)
+      return aCaller.SendCompleteAnswer(mHead, mBuffered);
     if (!mEvents.IsAtEventEnd())
-      aCaller.SendPiece(mEvents.TakeRest());
+      aCaller.SendPiece(mEvents.TakePartial());
     aCaller.SendEnd();
   }
 
-  /// The server was lost: what the caller hasn't got is dropped.
-  void DropRest()
+  /// Discards what the caller has not been sent, because the answer broke off.
+  void DiscardUnsent()
   {
-    mHeld.clear();
-    mEvents.DropRest();
+    mBuffered.clear();
+    mEvents.DropPartial();
   }
 
-  /// True once the caller has the head of an answer.
+  /// True once the caller has been sent the head of an answer.
   [[nodiscard]] bool IsHeadSent() const noexcept { return mIsHeadSent; }
 
-  /// True while another server's bytes can follow what the caller has.
-  [[nodiscard]] bool CanGoOn(bool aIsResumable) const noexcept
+  /// True while another server's answer can follow what the caller has been
+  /// sent: nothing yet, or complete events of a resumable stream.
+  [[nodiscard]] bool CanContinue(bool aIsResumable) const noexcept
   {
     return !mIsHeadSent || (mIsEventStream && aIsResumable);
   }
 
-  /// The last whole event that the caller was sent, if it had an id.
-  [[nodiscard]] std::optional<std::uint64_t> LastEvent() const noexcept
+  /// The last event id that the caller was sent, or nothing.
+  [[nodiscard]] std::optional<std::uint64_t> LastEventId() const noexcept
   {
     return mEvents.LastId();
   }
 
-  /// The status of the answer; 0 before one began.
+  /// The HTTP status of the answer; 0 before one has begun.
   [[nodiscard]] std::uint32_t Status() const noexcept { return mHead.mStatus; }
 
 private:
-  // Small enough to hold for each request that runs.
-  static constexpr std::uint64_t kHeldBytes = 65'536;
+  // Small enough to buffer for every request that runs at once.
+  static constexpr std::uint64_t kMaxBufferedBytes = 65'536;
 
   template<typename Caller>
   void SendHead(Caller& aCaller)
@@ -103,11 +106,11 @@
   }
 
   answer_head mHead;
-  std::string mHeld;
-  event_cutter mEvents;
+  std::string mBuffered;
+  event_splitter mEvents;
   bool mIsHeadSent = false;
   bool mIsEventStream = false;
-  bool mIsHeld = false;
+  bool mIsBuffering = false;
 };
 
 }
--- a/Libraries/LibGateway/AnswerUse.h
+++ b/Libraries/LibGateway/AnswerUse.h
@@ -2,11 +2,11 @@
 
 namespace lycheeseam {
 
-/// What is to be done with an answer whose head has come.
+/// What to do with an answer whose head has been read.
 enum class answer_use
 {
-  Take,
-  /// It belongs to another request: read past it to the next one.
+  Accept,
+  /// The answer belongs to another request: read past it to the next one.
   Skip,
 };
 
--- a/Libraries/LibGateway/AttemptOutcome.h
+++ b/Libraries/LibGateway/AttemptOutcome.h
@@ -2,19 +2,20 @@
 
 namespace lycheeseam {
 
-/// What the head of an answer decided about the attempt that it ends.
+/// What the head of an answer decided about its attempt.
 enum class attempt_outcome
 {
-  /// No head has come.
-  Open,
-  /// The answer goes to the caller.
-  Taken,
-  /// The server says that it didn't run the request.
+  /// No head has been received.
+  Pending,
+  /// The answer is passed on to the caller.
+  Accepted,
+  /// The server states that it did not run the request.
   NotRun,
-  /// The server ran the request and failed; another may do better.
+  /// The server ran the request and failed; another server may succeed.
   Failed,
-  /// The bytes are no answer of a server.
-  Spoiled,
+  /// A success without the stamp that servers put on their answers, so not an
+  /// answer of a server.
+  Invalid,
 };
 
 }
--- a/Libraries/LibGateway/AttemptRequest.h
+++ b/Libraries/LibGateway/AttemptRequest.h
@@ -9,17 +9,17 @@
 
 namespace lycheeseam {
 
-/// What is sent to one server.
+/// A request as it is sent to one server.
 struct attempt_request
 {
-  /// The bytes up to the empty line.
+  /// The bytes of the request line and the header fields, up to the empty line.
   std::string mHead;
   std::shared_ptr<std::string const> mBody;
   bool mAnswerHasBody = true;
-  /// What it may take of the server's memory.
+  /// Prompt and longest answer, which occupy the server's memory.
   token_count mTokens = 0;
-  /// The shared prompt part that the server has read once it has answered.
-  std::optional<prefix_holder> mPart;
+  /// The shared prompt prefix that the server holds once it has answered.
+  std::optional<prefix_holder> mPrefix;
 };
 
 }
--- a/Libraries/LibGateway/BodyFraming.h
+++ b/Libraries/LibGateway/BodyFraming.h
@@ -2,12 +2,12 @@
 
 namespace lycheeseam {
 
-/// How the end of an answer's body is told to the caller.
+/// How the end of an answer's body is marked for the caller.
 enum class body_framing
 {
-  /// The head tells the length.
+  /// The head states the length of the body.
   Sized,
-  /// Each piece tells its length.
+  /// Each piece states its length, as in HTTP's chunked transfer coding.
   Chunked,
 };
 
--- a/Libraries/LibGateway/CallerSession.h
+++ b/Libraries/LibGateway/CallerSession.h
@@ -10,8 +10,9 @@
 
 namespace lycheeseam {
 
-/// One caller's connection: reads a request after the other and writes their
-/// answers. Runs on the traffic thread; keeps itself alive while it is open.
+/// One caller's connection: reads one request after another and writes their
+/// answers. Runs on the traffic thread; keeps itself alive while the connection
+/// is open.
 template<gateway_dialect Dialect>
 class caller_session
   : public std::enable_shared_from_this<caller_session<Dialect>>
@@ -62,13 +63,13 @@
     Write(mFormat.End());
   }
 
-  void SendWhole(answer_head const& aHead, std::string_view aBody)
+  void SendCompleteAnswer(answer_head const& aHead, std::string_view aBody)
   {
     mIsAnswered = true;
-    Write(mFormat.Whole(aHead, aBody, Use()));
+    Write(mFormat.CompleteAnswer(aHead, aBody, Use()));
   }
 
-  /// Ends the connection so that the answer doesn't look complete.
+  /// Closes the connection so that the caller sees the answer as incomplete.
   void Abort()
   {
     mRun.reset();
@@ -92,21 +93,21 @@
     error_code ignored;
     mSocket.close(ignored);
     mIsClosed = true;
-    if (std::shared_ptr<run> const gone = std::exchange(mRun, nullptr))
-      gone->Cancel();
+    if (std::shared_ptr<run> const cancelled = std::exchange(mRun, nullptr))
+      cancelled->Cancel();
   }
 
 private:
   friend class write_queue<caller_session>;
   using run = request_run<Dialect, caller_session>;
 
-  // About what a link with a small window takes at once.
+  // About as much as a connection with a small TCP window takes at once.
   static constexpr std::size_t kCongestedBytes = 65'536;
-  // Requests behind the one that runs are read up to here.
+  // Limit for bytes that are read of pipelined requests while one runs.
   static constexpr std::size_t kPipelinedBytes = 65'536;
-  // A body that takes longer than any request's time limit is given up.
+  // A body that takes longer than any request's time limit is abandoned.
   static constexpr std::chrono::seconds kBodyTimeout{ 15 };
-  // How long a closing connection waits for its caller to close as well.
+  // How long a closing connection waits for the caller to close its end.
   static constexpr std::chrono::seconds kLingerTime{ 1 };
 
   void WatchIdle(caller_limits const& aLimits)
@@ -130,8 +131,8 @@
       return;
     if (aFault)
       return OnReadFault(aFault);
-    if (HasUnknownCoding(mParser->get()))
-      return RefuseBytes(refusal_status::BadRequest);
+    if (HasUnsupportedCoding(mParser->get()))
+      return RefuseInvalidBytes(refusal_status::BadRequest);
     mTimer.expires_after(kBodyTimeout);
     mTimer.async_wait(
       [self = this->shared_from_this()](error_code aTimerFault) {
@@ -152,16 +153,16 @@
 
   void OnReadFault(error_code aFault)
   {
-    std::optional<refusal_status> const refusal = RefusalOf(aFault);
+    std::optional<refusal_status> const refusal = RefusalForReadFault(aFault);
     if (refusal)
-      return RefuseBytes(*refusal);
+      return RefuseInvalidBytes(*refusal);
     Close();
   }
 
-  void RefuseBytes(refusal_status aStatus)
+  void RefuseInvalidBytes(refusal_status aStatus)
   {
     mMustClose = true;
-    SendWhole(RefusalHead(aStatus, {}), {});
+    SendCompleteAnswer(RefusalHead(aStatus, {}), {});
   }
 
   void OnRequest(error_code aFault)
@@ -172,7 +173,7 @@
       return OnReadFault(aFault);
     mTimer.cancel();
     mIsAnswered = false;
-    mMustClose = !mParser->get().keep_alive() || mCore.IsLeaving();
+    mMustClose = !mParser->get().keep_alive() || mCore.IsDraining();
     request_head head = TakeRequestHead(*mParser);
     mFormat.SetIsToHead(head.mMethod == "HEAD");
     mRun = std::make_shared<run>(mContext,
@@ -186,7 +187,7 @@
     started->Start();
   }
 
-  // While a request runs, its caller's close must be seen at once.
+  // While a request runs, its caller's close must be noticed at once.
   void WatchClose()
   {
     mSocket.async_wait(
@@ -214,8 +215,8 @@
 
   [[nodiscard]] connection_use Use() const
   {
-    return mMustClose || mCore.IsLeaving() ? connection_use::Closed
-                                           : connection_use::Kept;
+    return mMustClose || mCore.IsDraining() ? connection_use::Closed
+                                            : connection_use::Kept;
   }
 
   void Write(std::string_view aBytes)
@@ -246,8 +247,8 @@
       Close();
   }
 
-  // Closing at once would reset the connection when bytes wait unread, and
-  // the caller could lose the answer.
+  // An immediate close would reset the connection if received bytes are still
+  // unread, and the caller could lose the answer.
   void Linger()
   {
     error_code ignored;
--- a/Libraries/LibGateway/ConnectionUse.h
+++ b/Libraries/LibGateway/ConnectionUse.h
@@ -2,7 +2,7 @@
 
 namespace lycheeseam {
 
-/// What becomes of a caller's connection after an answer.
+/// What happens to a caller's connection after an answer.
 enum class connection_use
 {
   Kept,
--- a/Libraries/LibGateway/EventCutter.cpp
+++ b/Libraries/LibGateway/EventSplitter.cpp
@@ -1,4 +1,4 @@
-#include <LibGateway/EventCutter.h>
+#include <LibGateway/EventSplitter.h>
 #include <LibHttp/FieldLookup.h>
 
 #include <algorithm>
@@ -13,20 +13,20 @@
 }
 
 std::string
-event_cutter::Cut(std::string_view aBytes)
+event_splitter::Split(std::string_view aBytes)
 {
-  mRest += aBytes;
-  std::size_t const end = mRest.rfind(kEventEnd);
+  mPartial += aBytes;
+  std::size_t const end = mPartial.rfind(kEventEnd);
   if (end == std::string::npos)
     return {};
-  std::string whole = mRest.substr(0, end + kEventEnd.size());
-  mRest.erase(0, whole.size());
-  NoteIds(whole);
-  return whole;
+  std::string complete = mPartial.substr(0, end + kEventEnd.size());
+  mPartial.erase(0, complete.size());
+  NoteIds(complete);
+  return complete;
 }
 
 void
-event_cutter::NoteIds(std::string_view aEvents)
+event_splitter::NoteIds(std::string_view aEvents)
 {
   std::size_t at = aEvents.rfind(kIdLine);
   while (at != std::string_view::npos && at > 0 && aEvents[at - 1] != '\n')
--- a/Libraries/LibGateway/ExchangeEnd.h
+++ b/Libraries/LibGateway/ExchangeEnd.h
@@ -5,16 +5,17 @@
 /// How an exchange with a backend server ended.
 enum class exchange_end
 {
-  /// The answer is whole.
+  /// The complete answer was read.
   Complete,
-  /// No connection could be opened: the request was not sent.
+  /// No connection could be opened, so the request was not sent.
   NotConnected,
-  /// No connection could be opened since nothing listens there.
+  /// The connection was refused because nothing listens at the address, so the
+  /// request was not sent.
   Refused,
-  /// The server's machine acknowledges nothing any more, after the request was
+  /// The server's machine stopped acknowledging packets after the request was
   /// sent.
-  Silent,
-  /// The connection broke or spoke no HTTP, after the request was sent.
+  Unresponsive,
+  /// The connection broke, or carried invalid HTTP, after the request was sent.
   Broken,
 };
 
--- a/Libraries/LibGateway/Gateway.h
+++ b/Libraries/LibGateway/Gateway.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include <LibGateway/CallerSession.h>
-#include <LibGateway/InstanceQuestions.h>
+#include <LibGateway/InstanceQueryHandler.h>
 #include <LibGateway/QuerySession.h>
 #include <LibGateway/SessionListener.h>
 
@@ -9,15 +9,16 @@
 
 namespace lycheeseam {
 
-/// The traffic thread of one instance: takes callers, answers questions, and
-/// reports to control a few times a second. Made and run on that thread.
+/// The traffic thread of one instance: serves callers, answers readiness checks
+/// and address queries, and reports to the control thread a few times a second.
+/// Constructed and run on the traffic thread.
 template<gateway_dialect Dialect>
 class gateway
 {
 public:
   using report_handler = std::function<void(traffic_report)>;
 
-  /// Throws boost::system::system_error when an address is taken.
+  /// Throws boost::system::system_error when a listen address is in use.
   gateway(boost::asio::io_context& aContext,
           gateway_options aOptions,
           published<fleet_view> const& aPublished,
@@ -26,15 +27,15 @@
     , mOptions(std::move(aOptions))
     , mCore(mOptions, aPublished)
     , mHandler(std::move(aHandler))
-    , mQuestions(mCore)
-    , mReadiness(aContext, mQuestions, mOptions.mReadiness)
-    , mAddresses(aContext, mQuestions, mOptions.mAddresses)
+    , mQueryHandler(mCore)
+    , mReadiness(aContext, mQueryHandler, mOptions.mReadiness)
+    , mAddresses(aContext, mQueryHandler, mOptions.mAddresses)
     , mCallers(aContext, mCore, mOptions.mCallers)
     , mTimer(aContext)
   {
   }
 
-  /// Takes callers from now on.
+  /// Starts accepting connections.
   void Start()
   {
     mReadiness.Accept();
@@ -43,14 +44,15 @@
     Tick();
   }
 
-  /// Begins a planned stop: takes what comes and tells callers to go.
-  void Leave()
+  /// Begins a planned stop: still serves requests, but reports the instance as
+  /// not ready and closes each caller's connection after its answer.
+  void StartDraining()
   {
-    mCore.SetLeaving();
+    mCore.SetDraining();
     CloseIdle();
   }
 
-  /// Takes no more callers; requests that run go on.
+  /// Stops accepting callers; running requests continue.
   void Close()
   {
     mCallers.Close();
@@ -67,16 +69,16 @@
     return true;
   }
 
-  /// Another instance told what it saw.
-  void OnPeerUpdate(peer_update const& aNews)
+  /// Takes over what another instance observed.
+  void OnPeerUpdate(peer_update const& aUpdate)
   {
-    mCore.OnPeerUpdate(mClock.Now(), aNews);
+    mCore.OnPeerUpdate(mClock.Now(), aUpdate);
   }
 
 private:
-  using questions = instance_questions<Dialect>;
+  using query_handler = instance_query_handler<Dialect>;
 
-  // Others count what this instance admits this much later.
+  // Other instances learn of this one's usage with up to this delay.
   static constexpr std::chrono::milliseconds kReportInterval{ 150 };
 
   void CloseIdle()
@@ -103,9 +105,9 @@
   gateway_options mOptions;
   traffic_core mCore;
   report_handler mHandler;
-  questions mQuestions;
-  session_listener<query_session<questions>, questions> mReadiness;
-  session_listener<query_session<questions>, questions> mAddresses;
+  query_handler mQueryHandler;
+  session_listener<query_session<query_handler>, query_handler> mReadiness;
+  session_listener<query_session<query_handler>, query_handler> mAddresses;
   session_listener<caller_session<Dialect>, traffic_core> mCallers;
   boost::asio::steady_timer mTimer;
   system_clock mClock;
--- a/Libraries/LibGateway/GatewayDialect.h
+++ b/Libraries/LibGateway/GatewayDialect.h
@@ -14,12 +14,12 @@
 
 namespace lycheeseam {
 
-/// The names and formats that callers, backend servers and the gateway speak.
-/// All functions are static; ReadProperties throws invalid_input.
+/// The header fields and formats that callers, backend servers and the gateway
+/// use. All functions are static; ReadProperties throws invalid_input.
 template<typename Dialect>
 concept gateway_dialect = requires(request_head const& aHead,
                                    answer_head const& aAnswer,
-                                   send_parameters const& aTerms,
+                                   send_parameters const& aParameters,
                                    std::span<caller_entry const> aEntries,
                                    std::chrono::seconds aLifetime)
 {
@@ -27,7 +27,7 @@
     Dialect::ReadProperties(aHead)
     } -> std::same_as<request_properties>;
   {
-    Dialect::ForwardedRequest(aHead, aTerms)
+    Dialect::ForwardedRequest(aHead, aParameters)
     } -> std::same_as<request_head>;
   {
     Dialect::ReadAnswer(aAnswer)
@@ -36,7 +36,7 @@
     Dialect::IsReadinessCheck(aHead)
     } -> std::same_as<bool>;
   {
-    Dialect::IsAddressQuestion(aHead)
+    Dialect::IsAddressQuery(aHead)
     } -> std::same_as<bool>;
   {
     Dialect::FormatAddresses(aEntries, aLifetime)
--- a/Libraries/LibGateway/GatewayOptions.h
+++ b/Libraries/LibGateway/GatewayOptions.h
@@ -9,25 +9,26 @@
 
 namespace lycheeseam {
 
-/// What the traffic thread is told at its start.
+/// Options of the traffic thread, fixed at its start.
 struct gateway_options
 {
   instance_id mInstance;
   failure_domain mDomain;
+  /// Listen address for callers' requests.
   endpoint mCallers;
-  /// Where readiness is asked for.
+  /// Listen address for readiness checks.
   endpoint mReadiness;
-  /// Where callers ask for addresses.
+  /// Listen address for callers' address queries.
   endpoint mAddresses;
   quota_parameters mQuota;
-  /// Repeats for each first attempt, over all instances.
+  /// Retries for each first attempt, over all instances.
   double mRetryRatio = 0.2;
-  /// Repeats allowed besides, in a window, over all instances.
+  /// Additional retries in each mRetryWindow, over all instances.
   double mRetrySlack = 50;
   std::chrono::seconds mRetryWindow{ 10 };
-  /// How long after newer weights were named older ones may still be used.
+  /// How long older weights may still be used after operators named newer ones.
   std::chrono::milliseconds mOutdatedAfter{ 7'000 };
-  /// How long callers keep the answer to their question for addresses.
+  /// How long callers may cache the answer to an address query.
   std::chrono::seconds mAddressLifetime{ 2 };
 };
 
--- a/Libraries/LibGateway/ServerChannel.h
+++ b/Libraries/LibGateway/IdleConnection.h
@@ -8,11 +8,11 @@
 
 namespace lycheeseam {
 
-/// An open connection to a backend server without a request on it.
-struct server_channel
+/// An open connection to a backend server on which no request runs.
+struct idle_connection
 {
   std::shared_ptr<boost::asio::ip::tcp::socket> mSocket;
-  /// The server may close it after this.
+  /// The server may close the connection after this time.
   instant mUsableUntil{};
 };
 
--- a/Libraries/LibGateway/InstanceQuestions.h
+++ b/Libraries/LibGateway/InstanceQueryHandler.h
@@ -2,7 +2,7 @@
 
 #include <LibCore/SystemClock.h>
 #include <LibGateway/GatewayDialect.h>
-#include <LibGateway/OwnAnswer.h>
+#include <LibGateway/LocalAnswer.h>
 #include <LibGateway/RefusalAnswer.h>
 #include <LibGateway/TrafficCore.h>
 #include <LibHttp/HttpStatus.h>
@@ -11,22 +11,22 @@
 
 namespace lycheeseam {
 
-/// Answers whether the instance is ready, and which addresses callers should
+/// Answers readiness checks and queries for the addresses that callers should
 /// use. Runs on the traffic thread.
 template<gateway_dialect Dialect>
-class instance_questions
+class instance_query_handler
 {
 public:
-  explicit instance_questions(traffic_core& aCore)
+  explicit instance_query_handler(traffic_core& aCore)
     : mCore(aCore)
   {
   }
 
-  own_answer Answer(request_head const& aQuestion)
+  local_answer Answer(request_head const& aQuery)
   {
     std::shared_ptr<fleet_view const> const& view = mCore.View(mClock.Now());
-    bool const isReady = view->mConfig && !mCore.IsLeaving();
-    if (Dialect::IsAddressQuestion(aQuestion) && !view->mEntries.empty())
+    bool const isReady = view->mConfig && !mCore.IsDraining();
+    if (Dialect::IsAddressQuery(aQuery) && !view->mEntries.empty())
       return {
         .mHead = { .mStatus = kHttpOk,
                    .mReason = "OK",
@@ -34,7 +34,7 @@
         .mBody = Dialect::FormatAddresses(view->mEntries,
                                           mCore.Options().mAddressLifetime)
       };
-    if (Dialect::IsReadinessCheck(aQuestion) && isReady)
+    if (Dialect::IsReadinessCheck(aQuery) && isReady)
       return { .mHead = { .mStatus = kHttpOk, .mReason = "OK" } };
     return { .mHead = RefusalHead(refusal_status::NotReady, {}) };
   }
--- a/Libraries/LibGateway/JudgeAnswer.cpp
+++ b/Libraries/LibGateway/JudgeAnswer.cpp
@@ -10,9 +10,9 @@
   if (aAnswer.mIsNotRun || aAnswer.mIsMisdirected)
     return attempt_outcome::NotRun;
   if (aHead.IsSuccess())
-    return aAnswer.mIsSigned ? attempt_outcome::Taken
-                             : attempt_outcome::Spoiled;
-  return aIsReplaceable ? attempt_outcome::Failed : attempt_outcome::Taken;
+    return aAnswer.mHasServerStamp ? attempt_outcome::Accepted
+                                   : attempt_outcome::Invalid;
+  return aIsReplaceable ? attempt_outcome::Failed : attempt_outcome::Accepted;
 }
 
 }
--- a/Libraries/LibGateway/JudgeAnswer.h
+++ b/Libraries/LibGateway/JudgeAnswer.h
@@ -6,8 +6,9 @@
 
 namespace lycheeseam {
 
-/// What an answer's head decides about its attempt; never Open. aIsReplaceable
-/// says whether a server's failure may or must be kept from the caller.
+/// Decides the outcome of an attempt by its answer's head; never returns
+/// Pending. aIsReplaceable is true when a server's failure may, or must, be
+/// withheld from the caller.
 attempt_outcome
 JudgeAnswer(answer_head const& aHead,
             server_answer const& aAnswer,
--- a/Libraries/LibGateway/OwnAnswer.h
+++ b/Libraries/LibGateway/LocalAnswer.h
@@ -6,8 +6,8 @@
 
 namespace lycheeseam {
 
-/// A whole answer of the instance itself.
-struct own_answer
+/// A complete answer that the instance itself gives, not a backend server.
+struct local_answer
 {
   answer_head mHead;
   std::string mBody;
--- a/Libraries/LibGateway/PeerUpdate.h
+++ b/Libraries/LibGateway/PeerUpdate.h
@@ -7,7 +7,7 @@
 
 namespace lycheeseam {
 
-/// What another instance saw that requests of this one depend on.
+/// What another instance observed that matters to requests of this one.
 struct peer_update
 {
   std::vector<crash_count> mCrashes;
--- a/Libraries/LibGateway/PlanSend.cpp
+++ b/Libraries/LibGateway/PlanSend.cpp
@@ -9,14 +9,14 @@
 
 namespace {
 
-// A workspace's priority goes before its routes'; routes use up to this many
-// levels of the ten that servers know.
-constexpr std::uint32_t kRouteLevels = 3;
-constexpr std::uint32_t kLeastUrgent = 9;
+// Servers know ten priority levels. A workspace's priority takes precedence
+// over those of its routes, which use up to this many levels.
+constexpr std::uint32_t kRoutePriorityLevels = 3;
+constexpr std::uint32_t kLowestPriority = 9;
 
-// An engine reads fewer tokens faster than a transfer waits for its turn on
+// An engine reads fewer tokens than this in less time than a transfer waits for
 // the links of both ends.
-constexpr token_count kLeastFetchedTokens = 1'000;
+constexpr token_count kMinFetchedTokens = 1'000;
 
 std::uint64_t
 Hash(std::string_view aText, std::uint64_t aSeed)
@@ -33,44 +33,46 @@
   return pool == nullptr ? std::nullopt : pool->mCacheStore;
 }
 
-// Of the request's shared part within its cache scope.
+// Hash of the request's shared prompt prefix within its cache scope.
 std::optional<std::uint64_t>
-CacheKey(send_parameters const& aTerms, request_properties const& aProperties)
+CacheKey(send_parameters const& aParameters,
+         request_properties const& aProperties)
 {
   prompt_part const* const shared = aProperties.SharedPart();
   if (shared == nullptr)
     return std::nullopt;
-  return Hash(shared->mId, Hash(aTerms.mCacheScope, 0));
+  return Hash(shared->mId, Hash(aParameters.mCacheScope, 0));
 }
 
-// Where the server fetches what it lacks of the prompt, if anywhere.
+// Where the server fetches the cached parts of the prompt that it lacks, if
+// anywhere.
 std::optional<endpoint>
 FetchSource(traffic_core& aCore,
-            server_choice_request const& aWanted,
+            server_choice_request const& aChoiceRequest,
             tracked_server const& aServer,
             std::uint64_t aKey,
             std::optional<endpoint> const& aStore)
 {
   std::optional<backend_server_id> const holder =
-    aCore.Prefixes().Holder(aWanted.mNow, aKey);
-  // The server may have evicted a part of what it read; what it still has
-  // isn't moved.
+    aCore.Prefixes().Holder(aChoiceRequest.mNow, aKey);
+  // The server may have evicted a part of the prefix that it read, which only
+  // the store can supply; parts that it still has are not transferred.
   if (holder == aServer.mRegistered.mId)
     return aStore;
   if (holder) {
     std::shared_ptr<tracked_server> const known = aCore.Servers().Find(*holder);
     if (known && !known->mIsUpdating &&
-        known->mBreaker.State(aWanted.mNow) == breaker_state::Closed &&
-        known->mRegistered.VersionOf(aWanted.mModel) ==
-          aServer.mRegistered.VersionOf(aWanted.mModel))
+        known->mBreaker.State(aChoiceRequest.mNow) == breaker_state::Closed &&
+        known->mRegistered.VersionOf(aChoiceRequest.mModel) ==
+          aServer.mRegistered.VersionOf(aChoiceRequest.mModel))
       return known->mRegistered.mAddress;
   }
   if (aStore)
     return aStore;
-  tracked_server const* const likely = ChooseCacheSource(
-    aCore.Servers().Pool(aServer.mRegistered.mPool), aWanted, aServer);
-  if (likely != nullptr)
-    return likely->mRegistered.mAddress;
+  tracked_server const* const source = ChooseCacheSource(
+    aCore.Servers().Pool(aServer.mRegistered.mPool), aChoiceRequest, aServer);
+  if (source != nullptr)
+    return source->mRegistered.mAddress;
   return std::nullopt;
 }
 
@@ -97,10 +99,12 @@
 RequestPriority(dispatch_route const& aRoute,
                 dispatch_workspace const* aWorkspace)
 {
-  std::uint32_t const route = std::min(aRoute.mPriority, kRouteLevels - 1);
+  std::uint32_t const route =
+    std::min(aRoute.mPriority, kRoutePriorityLevels - 1);
   if (aWorkspace == nullptr || !aWorkspace->mPriority)
     return route;
-  return std::min(*aWorkspace->mPriority * kRouteLevels + route, kLeastUrgent);
+  return std::min(*aWorkspace->mPriority * kRoutePriorityLevels + route,
+                  kLowestPriority);
 }
 
 std::uint64_t
@@ -119,11 +123,11 @@
     total += share.mWeight;
   if (total == 0)
     return aRoute.mShares.empty() ? pool_name{} : aRoute.mShares.front().mPool;
-  std::uint64_t place = Hash(aRequest.Text(), 0) % total;
+  std::uint64_t point = Hash(aRequest.Text(), 0) % total;
   for (route_share const& share : aRoute.mShares) {
-    if (place < share.mWeight)
+    if (point < share.mWeight)
       return share.mPool;
-    place -= share.mWeight;
+    point -= share.mWeight;
   }
   return aRoute.mShares.back().mPool;
 }
@@ -135,68 +139,72 @@
                   request_properties const& aProperties,
                   std::vector<backend_server_id> const& aTried)
 {
-  server_choice_request wanted{ .mNow = aNow,
-                                .mDomain = aOptions.mDomain,
-                                .mModel = aProperties.mModel,
-                                .mWeights =
-                                  aView.FindWeights(aProperties.mModel),
-                                .mOutdatedAfter = aOptions.mOutdatedAfter,
-                                .mTried = aTried };
+  server_choice_request request{ .mNow = aNow,
+                                 .mDomain = aOptions.mDomain,
+                                 .mModel = aProperties.mModel,
+                                 .mWeights =
+                                   aView.FindWeights(aProperties.mModel),
+                                 .mOutdatedAfter = aOptions.mOutdatedAfter,
+                                 .mTried = aTried };
   if (prompt_part const* const shared = aProperties.SharedPart())
-    wanted.mPromptKey = Hash(shared->mId, 0);
-  return wanted;
+    request.mPromptKey = Hash(shared->mId, 0);
+  return request;
 }
 
 send_parameters
 PlanSend(traffic_core& aCore,
-         server_choice_request const& aWanted,
+         server_choice_request const& aChoiceRequest,
          tracked_server const& aServer,
-         admitted_request const& aRows,
+         admitted_request const& aAdmitted,
          request_properties const& aProperties,
-         std::optional<std::uint64_t> aLastEvent)
+         std::optional<std::uint64_t> aLastEventId)
 {
-  dispatch_workspace const* const workspace = aRows.mWorkspace;
-  send_parameters terms{
+  dispatch_workspace const* const workspace = aAdmitted.mWorkspace;
+  send_parameters parameters{
     .mServer = aServer.mRegistered.mId,
     .mTimeLeft = std::chrono::duration_cast<std::chrono::milliseconds>(
-      aRows.mDeadline - aWanted.mNow),
-    .mPriority = RequestPriority(*aRows.mRoute, workspace),
-    .mLastEvent = aLastEvent ? aLastEvent : aProperties.mLastEvent
+      aAdmitted.mDeadline - aChoiceRequest.mNow),
+    .mPriority = RequestPriority(*aAdmitted.mRoute, workspace),
+    .mLastEvent = aLastEventId ? aLastEventId : aProperties.mLastEvent
   };
   if (workspace != nullptr)
-    terms.mWorkspace = workspace->mName;
+    parameters.mWorkspace = workspace->mName;
   if (aProperties.mModel.IsEmpty())
-    return terms;
+    return parameters;
   std::uint64_t const version =
     aServer.mRegistered.VersionOf(aProperties.mModel);
   if (version > 0)
-    terms.mVersion = version;
-  // Parts made under other weights, or walled off, lie under another text.
-  terms.mCacheScope = "v" + std::to_string(version);
+    parameters.mVersion = version;
+  // Parts computed with other weights, and those of isolated workspaces, have a
+  // cache scope of their own.
+  parameters.mCacheScope = "v" + std::to_string(version);
   if (workspace != nullptr && workspace->mIsIsolated)
-    terms.mCacheScope += "/" + workspace->mName.Text();
-  std::optional<std::uint64_t> const key = CacheKey(terms, aProperties);
-  if (!key || aProperties.SharedTokens() < kLeastFetchedTokens)
-    return terms;
-  std::optional<endpoint> const store = CacheStoreOf(aCore, aWanted.mNow);
-  bool const isStored = aCore.Prefixes().IsSaved(aWanted.mNow, *key);
-  terms.mFetchFrom = FetchSource(aCore, aWanted, aServer, *key, store);
+    parameters.mCacheScope += "/" + workspace->mName.Text();
+  std::optional<std::uint64_t> const key = CacheKey(parameters, aProperties);
+  if (!key || aProperties.SharedTokens() < kMinFetchedTokens)
+    return parameters;
+  std::optional<endpoint> const store =
+    CacheStoreOf(aCore, aChoiceRequest.mNow);
+  bool const isStored = aCore.Prefixes().IsSaved(aChoiceRequest.mNow, *key);
+  parameters.mFetchFrom =
+    FetchSource(aCore, aChoiceRequest, aServer, *key, store);
   if (store && !isStored) {
-    terms.mSaveTo = store;
-    aCore.Prefixes().OnSaved(aWanted.mNow, *key);
+    parameters.mSaveTo = store;
+    aCore.Prefixes().OnSaved(aChoiceRequest.mNow, *key);
   }
-  return terms;
+  return parameters;
 }
 
 std::optional<prefix_holder>
-PartRead(send_parameters const& aTerms, request_properties const& aProperties)
+MakePrefixHolder(send_parameters const& aParameters,
+                 request_properties const& aProperties)
 {
-  std::optional<std::uint64_t> const key = CacheKey(aTerms, aProperties);
+  std::optional<std::uint64_t> const key = CacheKey(aParameters, aProperties);
   if (!key)
     return std::nullopt;
   return prefix_holder{ .mKey = *key,
-                        .mServer = aTerms.mServer,
-                        .mIsStored = aTerms.mSaveTo.has_value() };
+                        .mServer = aParameters.mServer,
+                        .mIsStored = aParameters.mSaveTo.has_value() };
 }
 
 }
--- a/Libraries/LibGateway/PlanSend.h
+++ b/Libraries/LibGateway/PlanSend.h
@@ -13,34 +13,37 @@
 #include <string_view>
 #include <vector>
 
-/// \file What follows from a request's properties for its charge and its sends.
+/// \file What a request is charged and what its servers are sent, derived from
+/// its properties.
 
 namespace lycheeseam {
 
-/// The tokens that a request may take on a server: prompt and longest answer.
+/// The tokens that a request may occupy on a server: prompt and longest answer.
 token_count
 RequestTokens(request_properties const& aProperties);
 
-/// What a request is charged, in its workspace's unit.
+/// What a request is charged, in its workspace's quota unit.
 double
 RequestUnits(dispatch_workspace const& aWorkspace,
              request_properties const& aProperties);
 
-/// The priority that a server is told: 0, the most urgent, to 9.
+/// The priority that a server is sent, from 0 (most urgent) to 9.
 std::uint32_t
 RequestPriority(dispatch_route const& aRoute,
                 dispatch_workspace const* aWorkspace);
 
-/// Tells requests apart that may crash servers: path, key and body.
+/// Hash of path, key and body, which identifies requests that may crash
+/// servers.
 std::uint64_t
 RequestFingerprint(request_properties const& aProperties,
                    std::string_view aBody);
 
-/// One of a route's pools by their weights; equal for equal request ids.
+/// Chooses one of a route's pools by weight; equal request ids give equal
+/// pools.
 pool_name
 ChoosePool(dispatch_route const& aRoute, request_id const& aRequest);
 
-/// What the choice of a server depends on.
+/// Collects what the choice of a server depends on.
 server_choice_request
 MakeChoiceRequest(instant aNow,
                   gateway_options const& aOptions,
@@ -48,19 +51,21 @@
                   request_properties const& aProperties,
                   std::vector<backend_server_id> const& aTried);
 
-/// What a request tells the server that was chosen. aLastEvent is the last one
-/// that the caller was sent of an answer that another server began.
+/// What the chosen server is sent besides the caller's request. aLastEventId is
+/// the last event that the caller was sent of an answer that another server
+/// began.
 send_parameters
 PlanSend(traffic_core& aCore,
-         server_choice_request const& aWanted,
+         server_choice_request const& aChoiceRequest,
          tracked_server const& aServer,
-         admitted_request const& aRows,
+         admitted_request const& aAdmitted,
          request_properties const& aProperties,
-         std::optional<std::uint64_t> aLastEvent);
+         std::optional<std::uint64_t> aLastEventId);
 
-/// The shared prompt part that a server has read once it has answered; nothing
+/// The shared prompt prefix that the server holds once it has answered; nothing
 /// when the request shares none.
 std::optional<prefix_holder>
-PartRead(send_parameters const& aTerms, request_properties const& aProperties);
+MakePrefixHolder(send_parameters const& aParameters,
+                 request_properties const& aProperties);
 
 }
--- a/Libraries/LibGateway/QuerySession.h
+++ b/Libraries/LibGateway/QuerySession.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include <LibGateway/OwnAnswer.h>
+#include <LibGateway/LocalAnswer.h>
 #include <LibHttp/FormatHead.h>
 #include <LibHttp/TakeHead.h>
 
@@ -19,19 +19,19 @@
 
 namespace lycheeseam {
 
-/// A connection on which the instance is asked about itself. Answerer has
+/// A connection on which the instance answers queries about itself. Handler has
 /// Answer(request_head) and outlives the session.
-template<typename Answerer>
+template<typename Handler>
 class query_session
-  : public std::enable_shared_from_this<query_session<Answerer>>
+  : public std::enable_shared_from_this<query_session<Handler>>
 {
 public:
   using tcp = boost::asio::ip::tcp;
 
   query_session(boost::asio::io_context& aContext,
-                Answerer& aAnswerer,
+                Handler& aHandler,
                 tcp::socket aSocket)
-    : mAnswerer(aAnswerer)
+    : mHandler(aHandler)
     , mSocket(std::move(aSocket))
     , mTimer(aContext)
   {
@@ -63,7 +63,7 @@
 
   void OnRequest()
   {
-    own_answer answer = mAnswerer.Answer(TakeRequestHead(*mParser));
+    local_answer answer = mHandler.Answer(TakeRequestHead(*mParser));
     answer.mHead.mFields.push_back(
       { "Content-Length", std::to_string(answer.mBody.size()) });
     mBytes = FormatAnswerHead(answer.mHead) + answer.mBody;
@@ -84,7 +84,7 @@
     mSocket.close(ignored);
   }
 
-  Answerer& mAnswerer;
+  Handler& mHandler;
   tcp::socket mSocket;
   boost::asio::steady_timer mTimer;
   boost::beast::flat_buffer mBuffer;
--- a/Libraries/LibGateway/RefusalAnswer.h
+++ b/Libraries/LibGateway/RefusalAnswer.h
@@ -7,7 +7,8 @@
 
 namespace lycheeseam {
 
-/// The head of a refusal; it has no body. A wait of 0 gives no Retry-After.
+/// The head of a refusal, which has no body. An aRetryAfter of 0 omits the
+/// Retry-After field.
 answer_head
 RefusalHead(refusal_status aStatus, std::chrono::milliseconds aRetryAfter);
 
--- a/Libraries/LibGateway/RefusalStatus.h
+++ b/Libraries/LibGateway/RefusalStatus.h
@@ -4,8 +4,8 @@
 
 namespace lycheeseam {
 
-/// The router's own answers, as HTTP statuses. Those for "not ready" and
-/// "over quota" promise that the request has not run and never will.
+/// HTTP statuses of the refusals that the gateway itself sends. NotReady and
+/// OverQuota promise that the request has not run and never will.
 enum class refusal_status : std::uint16_t
 {
   BadRequest = 400,
--- a/Libraries/LibGateway/RequestFault.h
+++ b/Libraries/LibGateway/RequestFault.h
@@ -11,16 +11,16 @@
 
 namespace lycheeseam {
 
-/// The answer to bytes that are no request; nothing when the connection just
-/// ended.
+/// The refusal of a request that can't be read; nothing when the connection
+/// just ended.
 std::optional<refusal_status>
-RefusalOf(boost::system::error_code aFault);
+RefusalForReadFault(boost::system::error_code aFault);
 
-/// True when a message's body has a coding other than chunked, which would
-/// leave its end in doubt.
+/// True when a message's body has a transfer coding other than chunked, which
+/// would leave the end of the body ambiguous.
 template<typename Message>
 bool
-HasUnknownCoding(Message const& aMessage)
+HasUnsupportedCoding(Message const& aMessage)
 {
   auto const coding =
     aMessage.find(boost::beast::http::field::transfer_encoding);
--- a/Libraries/LibGateway/RequestRefusal.h
+++ b/Libraries/LibGateway/RequestRefusal.h
@@ -6,11 +6,12 @@
 
 namespace lycheeseam {
 
-/// The router's own answer to a request.
+/// The gateway's own refusal of a request.
 struct request_refusal
 {
   refusal_status mStatus = refusal_status::NotReady;
-  /// When a repeat may fare better; 0 for no word of it.
+  /// How long the caller should wait before another try; 0 when the refusal
+  /// doesn't say.
   std::chrono::milliseconds mRetryAfter{};
 };
 
--- a/Libraries/LibGateway/RequestRun.h
+++ b/Libraries/LibGateway/RequestRun.h
@@ -18,12 +18,13 @@
 
 namespace lycheeseam {
 
-/// One request of a caller: from its route and its workspace over one or more
-/// attempts to one final answer. Runs on the traffic thread.
+/// Runs one request of a caller: finds its route and workspace, sends it in one
+/// or more attempts, and gives it one final answer. Runs on the traffic thread.
 ///
 /// Caller has SendHead(answer_head, body_framing), SendPiece(string_view),
-/// SendEnd(), SendWhole(answer_head, string), Abort() and IsCongested(). A
-/// congested caller calls OnDrained once it has taken what it was sent.
+/// SendEnd(), SendCompleteAnswer(answer_head, string), Abort() and
+/// IsCongested(). A congested caller calls OnDrained once all that it was sent
+/// is written.
 template<gateway_dialect Dialect, typename Caller>
 class request_run
   : public std::enable_shared_from_this<request_run<Dialect, Caller>>
@@ -40,42 +41,46 @@
     , mSender(aCore, std::move(aHead), std::move(aBody))
     , mTimer(aContext)
     , mTrace({ .mStartedAt = mClock.Now() })
-    , mEvents(aCore.Meter(), mTrace, mRows)
+    , mEvents(aCore.Meter(), mTrace, mAdmitted)
     , mAttempt(aContext, aCore)
   {
   }
 
-  /// Decides and sends, or refuses.
+  /// Admits the request and begins its first attempt, or refuses it.
   void Start()
   {
     try {
       mSender.ReadProperties();
-      mTrace.mRequest = mSender.Facts().mId;
+      mTrace.mRequest = mSender.Properties().mId;
     } catch (invalid_input const&) {
       return Refuse(refusal_status::BadRequest, {});
     }
-    if (std::optional<request_refusal> const refusal = AdmitRequest(
-          mCore, mTrace.mStartedAt, mSender.Facts(), mSender.Body(), mRows))
+    if (std::optional<request_refusal> const refusal =
+          AdmitRequest(mCore,
+                       mTrace.mStartedAt,
+                       mSender.Properties(),
+                       mSender.Body(),
+                       mAdmitted))
       return Refuse(refusal->mStatus, refusal->mRetryAfter);
-    mCore.OnFirstAttempt(mRows.mPool);
+    mCore.OnFirstAttempt(mAdmitted.mPool);
     ArmDeadline();
     Attempt();
   }
 
-  /// The caller has gone.
+  /// Ends the request because its caller disconnected.
   void Cancel()
   {
     if (mIsDone)
       return;
     mAttempt.End();
-    Settle();
+    MarkDone();
   }
 
-  /// The caller has taken what it was sent.
+  /// Continues a paused answer: all that the caller was sent is written.
   void OnDrained()
   {
     if (std::exchange(mWaitsForCaller, false))
-      mAttempt.ReadOn();
+      mAttempt.ReadNext();
   }
 
   answer_use OnExchangeHead(answer_head const& aHead)
@@ -84,28 +89,28 @@
     if (answer.mRequest && *answer.mRequest != mTrace.mRequest)
       return answer_use::Skip;
     mCore.OnAnswer(
-      mClock.Now(), mAttempt.Server(), mSender.Facts().mModel, answer);
+      mClock.Now(), mAttempt.Server(), mSender.Properties().mModel, answer);
     bool const isReplaceable =
-      !aHead.IsSuccess() && (mAnswer.IsHeadSent() || MayRepeatNow());
+      !aHead.IsSuccess() && (mAnswer.IsHeadSent() || MayRetryNow());
     mAttempt.SetOutcome(JudgeAnswer(aHead, answer, isReplaceable));
-    bool const isStream = mRows.mRoute->mKind == request_kind::Stream;
-    if (mAttempt.Outcome() == attempt_outcome::Taken)
+    bool const isStream = mAdmitted.mRoute->mKind == request_kind::Stream;
+    if (mAttempt.Outcome() == attempt_outcome::Accepted)
       mAnswer.Begin(*mCaller, aHead, isStream && aHead.IsSuccess());
-    return answer_use::Take;
+    return answer_use::Accept;
   }
 
   void OnExchangePiece(std::string_view aPiece)
   {
-    if (mAttempt.Outcome() != attempt_outcome::Taken)
-      return mAttempt.ReadOn();
-    if (!mTrace.mFirstAt)
-      mTrace.mFirstAt = mClock.Now();
-    mAnswer.Take(*mCaller, aPiece);
+    if (mAttempt.Outcome() != attempt_outcome::Accepted)
+      return mAttempt.ReadNext();
+    if (!mTrace.mFirstPieceAt)
+      mTrace.mFirstPieceAt = mClock.Now();
+    mAnswer.RelayPiece(*mCaller, aPiece);
     if (!mAttempt.IsOpen())
       return;
     mWaitsForCaller = mCaller->IsCongested();
     if (!mWaitsForCaller)
-      mAttempt.ReadOn();
+      mAttempt.ReadNext();
   }
 
   void OnExchangeEnd(exchange_end aEnd)
@@ -116,28 +121,28 @@
       return OnUnreachable(aEnd);
     switch (mAttempt.Outcome()) {
       case attempt_outcome::NotRun:
-        NoteEnd("not_run");
-        return SendElsewhere();
+        ReportAttemptEnd("not_run");
+        return TryAnotherServer();
       case attempt_outcome::Failed:
         return OnFailed();
-      case attempt_outcome::Taken:
-        return aEnd == exchange_end::Complete ? Finish() : OnLost(aEnd);
-      case attempt_outcome::Spoiled:
-      case attempt_outcome::Open:
-        return OnLost(aEnd);
+      case attempt_outcome::Accepted:
+        return aEnd == exchange_end::Complete ? Finish() : OnAnswerBroken(aEnd);
+      case attempt_outcome::Invalid:
+      case attempt_outcome::Pending:
+        return OnAnswerBroken(aEnd);
     }
   }
 
 private:
   using error_code = boost::system::error_code;
 
-  static constexpr std::chrono::milliseconds kShortWait{ 200 };
-  // How often a place is looked for while none is free.
-  static constexpr std::chrono::milliseconds kPlaceInterval{ 15 };
+  static constexpr std::chrono::milliseconds kRetryAfter{ 200 };
+  // How often the request looks for a server with free capacity.
+  static constexpr std::chrono::milliseconds kCapacityCheckInterval{ 15 };
 
   void ArmDeadline()
   {
-    mTimer.expires_after(mRows.mDeadline - mTrace.mStartedAt);
+    mTimer.expires_after(mAdmitted.mDeadline - mTrace.mStartedAt);
     mTimer.async_wait([self = this->shared_from_this()](error_code aFault) {
       if (!aFault)
         self->OnDeadline();
@@ -150,8 +155,9 @@
       return;
     bool const mayHaveRun = mTrace.mMayHaveRun || mAttempt.IsSent();
     mAttempt.End();
-    EndWith(mayHaveRun ? refusal_status::Timeout : refusal_status::NotReady,
-            kShortWait);
+    EndWithRefusal(mayHaveRun ? refusal_status::Timeout
+                              : refusal_status::NotReady,
+                   kRetryAfter);
   }
 
   void Attempt()
@@ -159,24 +165,26 @@
     if (mIsDone)
       return;
     instant const now = mClock.Now();
-    if (IsTooLate(mRows, now))
+    if (IsTooLate(mAdmitted, now))
       return OnDeadline();
-    server_pick const pick = mSender.Pick(now, mRows.mPool);
+    server_pick const pick = mSender.Pick(now, mAdmitted.mPool);
     if (!pick.mServer)
-      return WaitForPlace(now);
-    if (mTrace.mSends > 0 && !mCore.TryRepeat(now, mRows.mPool))
+      return WaitForCapacity(now);
+    if (mTrace.mSends > 0 && !mCore.TrySpendRetry(now, mAdmitted.mPool))
       return GiveUp();
-    mAttempt.Begin(pick.mServer,
-                   mSender.Prepare(pick, mRows, mTrace, mAnswer.LastEvent()),
-                   this->shared_from_this());
+    mAttempt.Begin(
+      pick.mServer,
+      mSender.Prepare(pick, mAdmitted, mTrace, mAnswer.LastEventId()),
+      this->shared_from_this());
   }
 
-  void WaitForPlace(instant aNow)
+  void WaitForCapacity(instant aNow)
   {
-    if (!MayWaitForPlace(mRows, mTrace, aNow))
+    if (!MayWaitForCapacity(mAdmitted, mTrace, aNow))
       return GiveUp();
     std::shared_ptr<boost::asio::steady_timer> const wait =
-      std::make_shared<boost::asio::steady_timer>(mContext, kPlaceInterval);
+      std::make_shared<boost::asio::steady_timer>(mContext,
+                                                  kCapacityCheckInterval);
     wait->async_wait(
       [self = this->shared_from_this(), wait](error_code) { self->Attempt(); });
   }
@@ -184,86 +192,88 @@
   void OnUnreachable(exchange_end aEnd)
   {
     mAttempt.OnUnreachable(mClock.Now());
-    NoteEnd(aEnd == exchange_end::Refused ? "connection_refused"
-                                          : "not_connected");
-    SendElsewhere();
+    ReportAttemptEnd(aEnd == exchange_end::Refused ? "connection_refused"
+                                                   : "not_connected");
+    TryAnotherServer();
   }
 
-  // No server has run the request.
-  void SendElsewhere()
+  // Continues after an attempt in which no server ran the request.
+  void TryAnotherServer()
   {
     mAttempt.End();
-    if (!MaySendElsewhere(mRows, mTrace))
+    if (!MayTryAnotherServer(mAdmitted, mTrace))
       return GiveUp();
     Attempt();
   }
 
-  /// The answer broke: the request may have run.
-  void OnLost(exchange_end aEnd)
+  /// The answer broke off: the server may have run the request.
+  void OnAnswerBroken(exchange_end aEnd)
   {
     instant const now = mClock.Now();
-    mAttempt.OnLost(now, aEnd);
-    mCore.OnCrash(now, mRows.mFingerprint);
+    mAttempt.OnConnectionLost(now, aEnd);
+    mCore.OnCrash(now, mAdmitted.mFingerprint);
     mTrace.mMayHaveRun = true;
-    NoteEnd(aEnd == exchange_end::Silent ? "silent" : "broken");
+    ReportAttemptEnd(aEnd == exchange_end::Unresponsive ? "silent" : "broken");
     bool const mayTry =
-      mAnswer.CanGoOn(mRows.mRoute->mIsResumable) && MayRepeatNow();
+      mAnswer.CanContinue(mAdmitted.mRoute->mIsResumable) && MayRetryNow();
     mAttempt.End();
-    mAnswer.DropRest();
-    if (mayTry && !mCore.Crashes().IsPoison(now, mRows.mFingerprint))
+    mAnswer.DiscardUnsent();
+    if (mayTry && !mCore.Crashes().IsPoison(now, mAdmitted.mFingerprint))
       return Attempt();
-    EndWith(refusal_status::BadGateway, {});
+    EndWithRefusal(refusal_status::BadGateway, {});
   }
 
-  /// The server's own failure: it has run.
+  /// The server reported its own failure: it has run the request.
   void OnFailed()
   {
-    NoteEnd("failed");
+    ReportAttemptEnd("failed");
     mTrace.mMayHaveRun = true;
     mAttempt.End();
-    if (!MayRepeatNow())
+    if (!MayRetryNow())
       return GiveUp();
     Attempt();
   }
 
-  [[nodiscard]] bool MayRepeatNow() const
+  [[nodiscard]] bool MayRetryNow() const
   {
-    return MayRepeat(mRows, mTrace, mClock.Now());
+    return MayRetry(mAdmitted, mTrace, mClock.Now());
   }
 
   void GiveUp()
   {
-    EndWith(mTrace.mMayHaveRun ? refusal_status::BadGateway
-                               : refusal_status::NotReady,
-            kShortWait);
+    EndWithRefusal(mTrace.mMayHaveRun ? refusal_status::BadGateway
+                                      : refusal_status::NotReady,
+                   kRetryAfter);
   }
 
-  // Refuses, or breaks off an answer that has begun.
-  void EndWith(refusal_status aStatus, std::chrono::milliseconds aRetryAfter)
+  // Refuses the request, or aborts an answer that has begun.
+  void EndWithRefusal(refusal_status aStatus,
+                      std::chrono::milliseconds aRetryAfter)
   {
     if (mAnswer.IsHeadSent())
-      return Settle()->Abort();
+      return MarkDone()->Abort();
     Refuse(aStatus, aRetryAfter);
   }
 
   void Finish()
   {
-    mCore.Crashes().OnAnswer(mRows.mFingerprint);
+    mCore.Crashes().OnAnswer(mAdmitted.mFingerprint);
     mAttempt.OnAnswered(mClock.Now());
     mAttempt.End();
     mEvents.OnAnswer(
       mClock.Now(), mAttempt.Server().mRegistered.mId, mAnswer.Status());
-    mAnswer.Finish(*Settle());
+    mAnswer.Finish(*MarkDone());
   }
 
-  void NoteEnd(std::string_view aCause)
+  void ReportAttemptEnd(std::string_view aCause)
   {
     mEvents.OnAttemptEnd(
       mClock.Now(), mAttempt.Server().mRegistered.mId, aCause);
   }
 
-  // Nothing comes after the caller's final answer, or after it has gone.
-  std::shared_ptr<Caller> Settle()
+  // Marks the request as done and returns its caller: nothing follows the final
+  // answer or a disconnect of the caller.
+  std::shared_ptr<Caller> MarkDone()
   {
     mIsDone = true;
     mTimer.cancel();
@@ -274,11 +284,13 @@
   {
     mEvents.OnRefusal(mClock.Now(),
                       { .mStatus = aStatus, .mRetryAfter = aRetryAfter });
-    // Only this one promises that nothing has run.
-    if (aStatus == refusal_status::NotReady && mRows.mWorkspace != nullptr &&
-        mRows.mUnits > 0)
-      mCore.Quota().Refund(mClock.Now(), mRows.mWorkspace->mName, mRows.mUnits);
-    Settle()->SendWhole(RefusalHead(aStatus, aRetryAfter), {});
+    // Of the refusals after a charge, only NotReady promises that the request
+    // has not run.
+    if (aStatus == refusal_status::NotReady &&
+        mAdmitted.mWorkspace != nullptr && mAdmitted.mUnits > 0)
+      mCore.Quota().Refund(
+        mClock.Now(), mAdmitted.mWorkspace->mName, mAdmitted.mUnits);
+    MarkDone()->SendCompleteAnswer(RefusalHead(aStatus, aRetryAfter), {});
   }
 
   boost::asio::io_context& mContext;
@@ -289,7 +301,7 @@
   boost::asio::steady_timer mTimer;
   system_clock mClock;
   run_trace mTrace;
-  admitted_request mRows;
+  admitted_request mAdmitted;
   run_events mEvents;
   server_attempt<request_run> mAttempt;
   answer_relay mAnswer;
--- a/Libraries/LibGateway/RequestSender.h
+++ b/Libraries/LibGateway/RequestSender.h
@@ -31,45 +31,50 @@
   {
   }
 
-  /// Reads the head; throws invalid_input.
+  /// Reads the properties from the head; throws invalid_input when it is
+  /// invalid.
   void ReadProperties() { mProperties = Dialect::ReadProperties(mHead); }
 
-  [[nodiscard]] request_properties const& Facts() const noexcept
+  [[nodiscard]] request_properties const& Properties() const noexcept
   {
     return mProperties;
   }
   [[nodiscard]] std::string const& Body() const noexcept { return *mBody; }
 
-  /// The best server of a pool now.
+  /// Chooses the best server of a pool now; mServer is null when there is none.
   [[nodiscard]] server_pick Pick(instant aNow, pool_name const& aPool)
   {
     server_pick pick{ .mView = mCore.View(aNow) };
-    pick.mWanted = MakeChoiceRequest(
+    pick.mChoiceRequest = MakeChoiceRequest(
       aNow, mCore.Options(), *pick.mView, mProperties, mTried);
     std::span<tracked_server* const> const servers =
       mCore.Servers().Pool(aPool);
     if (tracked_server const* const chosen =
-          ChooseServer(servers, pick.mWanted))
+          ChooseServer(servers, pick.mChoiceRequest))
       pick.mServer = mCore.Servers().Find(chosen->mRegistered.mId);
     return pick;
   }
 
-  /// What the server is sent. aLastEvent is the last one that the caller was
-  /// sent of an answer that another server began.
+  /// Prepares what the server is sent. aLastEventId is the last event that the
+  /// caller was sent of an answer that another server began.
   attempt_request Prepare(server_pick const& aPick,
-                          admitted_request const& aRows,
+                          admitted_request const& aAdmitted,
                           run_trace& aTrace,
-                          std::optional<std::uint64_t> aLastEvent)
+                          std::optional<std::uint64_t> aLastEventId)
   {
     tracked_server const& server = *aPick.mServer;
     mTried.push_back(server.mRegistered.mId);
-    mCore.Meter().OnSend(aRows, aTrace.mSends > 0);
+    mCore.Meter().OnSend(aAdmitted, aTrace.mSends > 0);
     ++aTrace.mSends;
-    send_parameters const terms =
-      PlanSend(mCore, aPick.mWanted, server, aRows, mProperties, aLastEvent);
-    aTrace.mFetchFrom = terms.mFetchFrom;
-    aTrace.mPressure = server.Pressure(aPick.mWanted.mNow);
-    request_head head = Dialect::ForwardedRequest(mHead, terms);
+    send_parameters const parameters = PlanSend(mCore,
+                                                aPick.mChoiceRequest,
+                                                server,
+                                                aAdmitted,
+                                                mProperties,
+                                                aLastEventId);
+    aTrace.mFetchFrom = parameters.mFetchFrom;
+    aTrace.mPressure = server.Pressure(aPick.mChoiceRequest.mNow);
+    request_head head = Dialect::ForwardedRequest(mHead, parameters);
     if (!mBody->empty() || mHead.mMethod != "GET")
       head.mFields.push_back(
         { "Content-Length", std::to_string(mBody->size()) });
@@ -77,7 +82,7 @@
              .mBody = mBody,
              .mAnswerHasBody = mHead.mMethod != "HEAD",
              .mTokens = RequestTokens(mProperties),
-             .mPart = PartRead(terms, mProperties) };
+             .mPrefix = MakePrefixHolder(parameters, mProperties) };
   }
 
 private:
--- a/Libraries/LibGateway/RunEvents.cpp
+++ b/Libraries/LibGateway/RunEvents.cpp
@@ -21,14 +21,15 @@
                          std::string_view aCause)
 {
   mMeter.OnAttemptEnd(aServer, aCause);
-  LogEvent("attempt_ended",
-           { { "request", mTrace.mRequest.Text() },
-             { "server", aServer.Text() },
-             { "cause", std::string{ aCause } },
-             { "sends", std::int64_t{ mTrace.mSends } },
-             { "may_repeat", std::int64_t{ mRows.mRoute->MayRepeat() } },
-             { "config", static_cast<std::int64_t>(mRows.mConfig->Version()) },
-             { "since_ms", Milliseconds(aNow - mTrace.mStartedAt) } });
+  LogEvent(
+    "attempt_ended",
+    { { "request", mTrace.mRequest.Text() },
+      { "server", aServer.Text() },
+      { "cause", std::string{ aCause } },
+      { "sends", std::int64_t{ mTrace.mSends } },
+      { "may_repeat", std::int64_t{ mAdmitted.mRoute->MayRepeat() } },
+      { "config", static_cast<std::int64_t>(mAdmitted.mConfig->Version()) },
+      { "since_ms", Milliseconds(aNow - mTrace.mStartedAt) } });
 }
 
 void
@@ -36,11 +37,11 @@
                      backend_server_id const& aServer,
                      std::uint32_t aStatus)
 {
-  mMeter.OnAnswer(aNow, mTrace, mRows, aServer, aStatus);
+  mMeter.OnAnswer(aNow, mTrace, mAdmitted, aServer, aStatus);
   LogEvent(
     "answered",
     { { "request", mTrace.mRequest.Text() },
-      { "route", mRows.mRoute->mName.Text() },
+      { "route", mAdmitted.mRoute->mName.Text() },
       { "server", aServer.Text() },
       { "status", std::int64_t{ aStatus } },
       { "sends", std::int64_t{ mTrace.mSends } },
@@ -48,22 +49,24 @@
       { "fetched_from",
         mTrace.mFetchFrom ? mTrace.mFetchFrom->Text() : std::string{} },
       { "first_ms",
-        Milliseconds(mTrace.mFirstAt.value_or(aNow) - mTrace.mStartedAt) },
+        Milliseconds(mTrace.mFirstPieceAt.value_or(aNow) - mTrace.mStartedAt) },
       { "all_ms", Milliseconds(aNow - mTrace.mStartedAt) } });
 }
 
 void
 run_events::OnRefusal(instant aNow, request_refusal const& aRefusal)
 {
-  mMeter.OnRefusal(aNow, mTrace, mRows, aRefusal);
+  mMeter.OnRefusal(aNow, mTrace, mAdmitted, aRefusal);
   LogEvent(
     "refused",
     { { "request", mTrace.mRequest.Text() },
       { "status", static_cast<std::int64_t>(aRefusal.mStatus) },
-      { "route", mRows.mRoute ? mRows.mRoute->mName.Text() : std::string{} },
+      { "route",
+        mAdmitted.mRoute ? mAdmitted.mRoute->mName.Text() : std::string{} },
       { "workspace",
-        mRows.mWorkspace ? mRows.mWorkspace->mName.Text() : std::string{} },
-      { "units", mRows.mUnits },
+        mAdmitted.mWorkspace ? mAdmitted.mWorkspace->mName.Text()
+                             : std::string{} },
+      { "units", mAdmitted.mUnits },
       { "sends", std::int64_t{ mTrace.mSends } },
       { "may_have_run", std::int64_t{ mTrace.mMayHaveRun } },
       { "held_ms", Milliseconds(aNow - mTrace.mStartedAt) },
--- a/Libraries/LibGateway/RunEvents.h
+++ b/Libraries/LibGateway/RunEvents.h
@@ -10,37 +10,37 @@
 
 namespace lycheeseam {
 
-/// Tells the log and the metrics of one request. What it refers to outlives
-/// it.
+/// Writes the log events and the metrics of one request. The constructor's
+/// arguments outlive it.
 class run_events
 {
 public:
   run_events(traffic_meter& aMeter,
              run_trace const& aTrace,
-             admitted_request const& aRows)
+             admitted_request const& aAdmitted)
     : mMeter(aMeter)
     , mTrace(aTrace)
-    , mRows(aRows)
+    , mAdmitted(aAdmitted)
   {
   }
 
-  /// An attempt ended that the caller's answer didn't come from.
+  /// An attempt ended without providing the caller's answer.
   void OnAttemptEnd(instant aNow,
                     backend_server_id const& aServer,
                     std::string_view aCause);
 
-  /// A server's answer went to the caller whole.
+  /// The caller was sent the complete answer of a server.
   void OnAnswer(instant aNow,
                 backend_server_id const& aServer,
                 std::uint32_t aStatus);
 
-  /// The router answered by itself.
+  /// The gateway itself refused the request.
   void OnRefusal(instant aNow, request_refusal const& aRefusal);
 
 private:
   traffic_meter& mMeter;
   run_trace const& mTrace;
-  admitted_request const& mRows;
+  admitted_request const& mAdmitted;
 };
 
 }
--- a/Libraries/LibGateway/RunLimits.cpp
+++ b/Libraries/LibGateway/RunLimits.cpp
@@ -7,44 +7,47 @@
 namespace {
 
 // An attempt that gets less time than this can't succeed.
-constexpr std::chrono::milliseconds kLeastTime{ 10 };
+constexpr std::chrono::milliseconds kMinAttemptTime{ 10 };
 
-// Waiting for a place is free of harm up to this part of the target.
-constexpr int kPlaceWaitPart = 8;
+// Waiting for capacity does no harm up to the route's target latency divided by
+// this.
+constexpr int kCapacityWaitDivisor = 8;
 
-// A request that no server has run may go to this many beyond its route's
-// attempts: servers that refuse it don't count as attempts.
+// A request that no server has run may be sent this many times beyond its
+// route's attempts: a server that refuses it doesn't count as an attempt.
 constexpr std::uint32_t kExtraSends = 2;
 
 }
 
 bool
-IsTooLate(admitted_request const& aRows, instant aNow)
+IsTooLate(admitted_request const& aAdmitted, instant aNow)
 {
-  return aRows.mDeadline - aNow < kLeastTime;
+  return aAdmitted.mDeadline - aNow < kMinAttemptTime;
 }
 
 bool
-MayRepeat(admitted_request const& aRows, run_trace const& aTrace, instant aNow)
+MayRetry(admitted_request const& aAdmitted,
+         run_trace const& aTrace,
+         instant aNow)
 {
-  return aRows.mRoute->MayRepeat() &&
-         aTrace.mSends < aRows.mRoute->mMaxAttempts &&
-         aRows.mDeadline - aNow > kLeastTime;
+  return aAdmitted.mRoute->MayRepeat() &&
+         aTrace.mSends < aAdmitted.mRoute->mMaxAttempts &&
+         aAdmitted.mDeadline - aNow > kMinAttemptTime;
 }
 
 bool
-MaySendElsewhere(admitted_request const& aRows, run_trace const& aTrace)
+MayTryAnotherServer(admitted_request const& aAdmitted, run_trace const& aTrace)
 {
-  return aTrace.mSends < aRows.mRoute->mMaxAttempts + kExtraSends;
+  return aTrace.mSends < aAdmitted.mRoute->mMaxAttempts + kExtraSends;
 }
 
 bool
-MayWaitForPlace(admitted_request const& aRows,
-                run_trace const& aTrace,
-                instant aNow)
+MayWaitForCapacity(admitted_request const& aAdmitted,
+                   run_trace const& aTrace,
+                   instant aNow)
 {
   return aNow - aTrace.mStartedAt <=
-         aRows.mRoute->mTargetLatency / kPlaceWaitPart;
+         aAdmitted.mRoute->mTargetLatency / kCapacityWaitDivisor;
 }
 
 }
--- a/Libraries/LibGateway/RunLimits.h
+++ b/Libraries/LibGateway/RunLimits.h
@@ -7,22 +7,25 @@
 
 namespace lycheeseam {
 
-/// True when an attempt gets too little time to succeed.
+/// True when the time left is too short for an attempt to succeed.
 bool
-IsTooLate(admitted_request const& aRows, instant aNow);
+IsTooLate(admitted_request const& aAdmitted, instant aNow);
 
-/// True when a request that a server may have run may be sent to another one.
+/// True when a request that a server may have run may be sent to another
+/// server.
 bool
-MayRepeat(admitted_request const& aRows, run_trace const& aTrace, instant aNow);
+MayRetry(admitted_request const& aAdmitted,
+         run_trace const& aTrace,
+         instant aNow);
 
-/// True when a request that no server has run may be sent to another one.
+/// True when a request that no server has run may be sent to another server.
 bool
-MaySendElsewhere(admitted_request const& aRows, run_trace const& aTrace);
+MayTryAnotherServer(admitted_request const& aAdmitted, run_trace const& aTrace);
 
-/// True while waiting for a place on a server does no harm.
+/// True while waiting for free capacity on a server does no harm.
 bool
-MayWaitForPlace(admitted_request const& aRows,
-                run_trace const& aTrace,
-                instant aNow);
+MayWaitForCapacity(admitted_request const& aAdmitted,
+                   run_trace const& aTrace,
+                   instant aNow);
 
 }
--- a/Libraries/LibGateway/RunTrace.h
+++ b/Libraries/LibGateway/RunTrace.h
@@ -9,17 +9,17 @@
 
 namespace lycheeseam {
 
-/// What the log tells of a request's run.
+/// What log events and metrics report about a request's run.
 struct run_trace
 {
   request_id mRequest;
   instant mStartedAt{};
-  /// When the first piece of the answer came.
-  std::optional<instant> mFirstAt;
+  /// When the first piece of the answer's body was received.
+  std::optional<instant> mFirstPieceAt;
   std::uint32_t mSends = 0;
   /// A server may have run the request.
   bool mMayHaveRun = false;
-  /// Of the server when the request was sent to it.
+  /// The result of the server's Pressure() when the request was sent to it.
   double mPressure = 0;
   std::optional<endpoint> mFetchFrom;
 };
--- a/Libraries/LibGateway/SendParameters.h
+++ b/Libraries/LibGateway/SendParameters.h
@@ -10,26 +10,28 @@
 
 namespace lycheeseam {
 
-/// What a request tells a backend server besides the caller's own words.
+/// What the gateway sends to a backend server besides the caller's own request.
 struct send_parameters
 {
-  /// Only this server may run it.
+  /// The only server that may run the request.
   backend_server_id mServer;
-  /// How long the server may work on it.
+  /// How long the server may work on the request.
   std::chrono::milliseconds mTimeLeft{};
-  /// Empty on routes open to all.
+  /// Empty when the request has no workspace, as on public routes.
   workspace_id mWorkspace;
-  /// 0 is the most urgent.
+  /// From 0 (most urgent) to 9.
   std::uint32_t mPriority = 0;
-  /// Weights of another version must not run it.
+  /// Only weights of this version may run the request.
   std::optional<std::uint64_t> mVersion;
-  /// Cached parts are found under the same text only; empty for plain work.
+  /// Cached prompt parts are shared only within one scope; empty for requests
+  /// without a model.
   std::string mCacheScope;
-  /// Where the server fetches cached parts that it lacks.
+  /// Where the server fetches cached prompt parts that it lacks.
   std::optional<endpoint> mFetchFrom;
-  /// Where the server hands the prompt's parts once they are read.
+  /// Where the server saves the prompt's cached parts once it has read the
+  /// prompt.
   std::optional<endpoint> mSaveTo;
-  /// The last event that a resumed stream already has.
+  /// The last event that the caller already has of a resumed stream.
   std::optional<std::uint64_t> mLastEvent;
 };
 
--- a/Libraries/LibGateway/ServerAnswer.h
+++ b/Libraries/LibGateway/ServerAnswer.h
@@ -8,22 +8,22 @@
 
 namespace lycheeseam {
 
-/// What an answer's head tells the router.
+/// What the gateway reads from the head of a server's answer.
 struct server_answer
 {
-  /// Which request it belongs to, when it says so.
+  /// The request that the answer belongs to, when the head states it.
   std::optional<request_id> mRequest;
-  /// The server says that it didn't and won't run the request.
+  /// The server states that it did not run the request and never will.
   bool mIsNotRun = false;
-  /// It isn't the server, or hasn't the weights, that the request was meant
-  /// for, and didn't run it.
+  /// The server is not the one that the request was meant for, or lacks the
+  /// requested weights, and did not run the request.
   bool mIsMisdirected = false;
-  /// Who answered, when the answer tells.
+  /// The server that answered, when the head states it.
   std::optional<backend_server_id> mServer;
-  /// It bears the mark that servers put on the answers that they made.
-  bool mIsSigned = false;
+  /// The head has the stamp that servers put on the answers that they make.
+  bool mHasServerStamp = false;
   std::optional<reported_load> mLoad;
-  /// The version of the weights that made it.
+  /// The version of the weights that produced the answer.
   std::optional<std::uint64_t> mVersion;
 };
 
--- a/Libraries/LibGateway/ServerAttempt.h
+++ b/Libraries/LibGateway/ServerAttempt.h
@@ -11,8 +11,9 @@
 
 namespace lycheeseam {
 
-/// One send of a request to one server, which counts there from its beginning
-/// to its end. Sink is told of the exchange as server_exchange says.
+/// One attempt to have one server run a request. The request counts towards the
+/// server's load from Begin to End. Sink is the one that server_exchange
+/// describes.
 template<typename Sink>
 class server_attempt
 {
@@ -23,27 +24,29 @@
   {
   }
 
-  /// Sends; the attempt before must have ended.
+  /// Sends the request; the previous attempt must have ended.
   void Begin(std::shared_ptr<tracked_server> aServer,
              attempt_request aRequest,
              std::shared_ptr<Sink> aSink)
   {
     mServer = std::move(aServer);
     mTokens = aRequest.mTokens;
-    mPart = std::move(aRequest.mPart);
-    mOutcome = attempt_outcome::Open;
+    mPrefix = std::move(aRequest.mPrefix);
+    mOutcome = attempt_outcome::Pending;
     mServer->OnStart(mTokens);
-    // The sink may begin the next attempt from within the start of this one.
+    // A local copy, because the sink may begin the next attempt while this one
+    // is being started.
     std::shared_ptr<server_exchange<Sink>> const started =
       std::make_shared<server_exchange<Sink>>(
-        mContext, mCore.Channels(), mServer, std::move(aSink));
+        mContext, mCore.Connections(), mServer, std::move(aSink));
     mExchange = started;
     started->Start(std::move(aRequest.mHead),
                    std::move(aRequest.mBody),
                    aRequest.mAnswerHasBody);
   }
 
-  /// Ends it; the server sees its connection close if it is still at work.
+  /// Ends the attempt; a server that is still working on the request sees its
+  /// connection close.
   void End()
   {
     if (!mExchange)
@@ -53,11 +56,12 @@
     mExchange.reset();
   }
 
-  /// Reads the answer's next piece; nothing when the attempt has ended.
-  void ReadOn()
+  /// Reads the next piece of the answer; does nothing when the attempt has
+  /// ended.
+  void ReadNext()
   {
     if (mExchange)
-      mExchange->ReadOn();
+      mExchange->ReadNext();
   }
 
   /// No connection could be opened to the server.
@@ -65,47 +69,47 @@
   {
     breaker_state const before = mServer->mBreaker.State(aNow);
     mServer->mBreaker.OnAbsence(aNow);
-    NoteBreaker(aNow, before);
-    mCore.Channels().Forget(mServer->mRegistered.mId);
+    ReportBreaker(aNow, before);
+    mCore.Connections().CloseIdle(mServer->mRegistered.mId);
   }
 
-  /// The server's connection broke, or its machine fell silent.
-  void OnLost(instant aNow, exchange_end aEnd)
+  /// The connection to the server broke, or its machine became unresponsive.
+  void OnConnectionLost(instant aNow, exchange_end aEnd)
   {
     breaker_state const before = mServer->mBreaker.State(aNow);
-    if (aEnd == exchange_end::Silent)
+    if (aEnd == exchange_end::Unresponsive)
       mServer->mBreaker.OnAbsence(aNow);
     else
       mServer->mBreaker.OnFailure(aNow);
-    NoteBreaker(aNow, before);
-    // Kept connections to it may be as dead as this one; a new one shows at
-    // once whether it lives, before anything is sent.
-    mCore.Channels().Forget(mServer->mRegistered.mId);
+    ReportBreaker(aNow, before);
+    // Idle connections to the server may have failed as well; a new connection
+    // shows at once, before a request is sent, whether the server is up.
+    mCore.Connections().CloseIdle(mServer->mRegistered.mId);
   }
 
-  /// The answer is whole.
+  /// The complete answer was received.
   void OnAnswered(instant aNow)
   {
-    if (mPart)
-      mCore.OnServed(aNow, *mPart);
+    if (mPrefix)
+      mCore.OnPrefixRead(aNow, *mPrefix);
   }
 
   [[nodiscard]] bool IsOpen() const noexcept { return mExchange != nullptr; }
 
-  /// True while it runs and may have reached the server.
+  /// True while the attempt runs and the server may have received the request.
   [[nodiscard]] bool IsSent() const
   {
     return mExchange != nullptr && mExchange->IsSent();
   }
 
-  /// The server of the attempt that began last.
+  /// The server of the latest attempt.
   [[nodiscard]] tracked_server& Server() const { return *mServer; }
 
   [[nodiscard]] attempt_outcome Outcome() const noexcept { return mOutcome; }
   void SetOutcome(attempt_outcome aOutcome) noexcept { mOutcome = aOutcome; }
 
 private:
-  void NoteBreaker(instant aNow, breaker_state aBefore)
+  void ReportBreaker(instant aNow, breaker_state aBefore)
   {
     if (aBefore == breaker_state::Open ||
         mServer->mBreaker.State(aNow) != breaker_state::Open)
@@ -120,8 +124,8 @@
   std::shared_ptr<tracked_server> mServer;
   std::shared_ptr<server_exchange<Sink>> mExchange;
   token_count mTokens = 0;
-  std::optional<prefix_holder> mPart;
-  attempt_outcome mOutcome = attempt_outcome::Open;
+  std::optional<prefix_holder> mPrefix;
+  attempt_outcome mOutcome = attempt_outcome::Pending;
 };
 
 }
--- a/Libraries/LibGateway/ServerExchange.h
+++ b/Libraries/LibGateway/ServerExchange.h
@@ -3,7 +3,7 @@
 #include <LibCore/SystemClock.h>
 #include <LibDispatch/TrackedServer.h>
 #include <LibGateway/AnswerUse.h>
-#include <LibGateway/ChannelPool.h>
+#include <LibGateway/ConnectionPool.h>
 #include <LibGateway/ExchangeEnd.h>
 #include <LibHttp/FieldLookup.h>
 #include <LibHttp/TakeHead.h>
@@ -26,13 +26,13 @@
 
 namespace lycheeseam {
 
-/// One request on its way to one backend server, and its answer on its way
-/// back. Runs on the traffic thread.
+/// Sends one request to one backend server and reads its answer. Runs on the
+/// traffic thread.
 ///
 /// Sink has OnExchangeHead(answer_head const&) -> answer_use,
 /// OnExchangePiece(std::string_view) and OnExchangeEnd(exchange_end). After a
-/// piece nothing more is read until ReadOn is called, so a slow caller slows
-/// its server down. After Cancel the sink hears nothing more.
+/// piece nothing more is read until ReadNext is called, so a slow caller slows
+/// its server down. After Cancel the sink is not called any more.
 template<typename Sink>
 class server_exchange
   : public std::enable_shared_from_this<server_exchange<Sink>>
@@ -41,7 +41,7 @@
   using tcp = boost::asio::ip::tcp;
 
   server_exchange(boost::asio::io_context& aContext,
-                  channel_pool& aPool,
+                  connection_pool& aPool,
                   std::shared_ptr<tracked_server> aServer,
                   std::shared_ptr<Sink> aSink)
     : mContext(aContext)
@@ -52,7 +52,7 @@
   {
   }
 
-  /// Sends a request; aBody must outlive the exchange.
+  /// Sends a request; aBody must not be null.
   void Start(std::string aHead,
              std::shared_ptr<std::string const> aBody,
              bool aAnswerHasBody)
@@ -60,14 +60,14 @@
     mHead = std::move(aHead);
     mBody = std::move(aBody);
     mAnswerHasBody = aAnswerHasBody;
-    mSocket = mPool.Take(mClock.Now(), mServer->mRegistered);
+    mSocket = mPool.Acquire(mClock.Now(), mServer->mRegistered);
     if (mSocket)
       return Send();
     Connect();
   }
 
-  /// Reads the answer's next piece.
-  void ReadOn()
+  /// Reads the next piece of the answer.
+  void ReadNext()
   {
     if (!mSink)
       return;
@@ -83,7 +83,7 @@
                                         std::size_t) { self->OnRead(aFault); });
   }
 
-  /// Gives the request up; the server sees its connection close.
+  /// Abandons the request; the server sees its connection close.
   void Cancel()
   {
     mSink.reset();
@@ -94,18 +94,20 @@
   [[nodiscard]] bool IsSent() const noexcept { return mIsSent; }
 
 private:
-  // Answers come in small events; a larger piece only costs memory.
+  // Answers come in small events; a larger buffer would only cost memory.
   static constexpr std::size_t kPieceBytes = 16'384;
-  // In a healthy site a connection takes a few milliseconds. A lost packet
-  // would be sent again after a second, when another server is the better try.
+  // In a healthy site a connection opens within a few milliseconds. A lost
+  // packet would be sent again only after a second, when another server is the
+  // better choice.
   static constexpr std::chrono::milliseconds kConnectTimeout{ 300 };
-  // Some lost packets in a row may be sent again before a server that
-  // acknowledges nothing counts as lost.
-  static constexpr std::chrono::milliseconds kSilence{ 900 };
-  // Without word of it, servers close idle connections after some seconds.
-  static constexpr std::chrono::milliseconds kUsualIdleTime{ 2'000 };
-  // A server that is about to close must not get another request meanwhile.
-  static constexpr std::chrono::milliseconds kIdleMargin{ 700 };
+  // Allows several retransmissions of lost packets before a server that
+  // acknowledges nothing counts as unresponsive.
+  static constexpr std::chrono::milliseconds kUnresponsiveTimeout{ 900 };
+  // Servers that announce no timeout close idle connections after some seconds.
+  static constexpr std::chrono::milliseconds kDefaultIdleTimeout{ 2'000 };
+  // A server that is about to close a connection must not be sent a request on
+  // it.
+  static constexpr std::chrono::milliseconds kIdleTimeoutMargin{ 700 };
 
   void Connect()
   {
@@ -139,7 +141,7 @@
     mTimer.cancel();
     boost::system::error_code ignored;
     mSocket->set_option(tcp::no_delay{ true }, ignored);
-    WatchLiveness(*mSocket, kSilence);
+    WatchLiveness(*mSocket, kUnresponsiveTimeout);
     Send();
   }
 
@@ -153,8 +155,8 @@
                              buffers,
                              [self = this->shared_from_this()](
                                boost::system::error_code aFault, std::size_t) {
-                               // The answer's end tells what became of the
-                               // request; a server may answer before it has
+                               // The end of the answer decides what became of
+                               // the request; a server may answer before it has
                                // read all of a long body.
                                self->mIsWritten = !aFault;
                              });
@@ -180,18 +182,18 @@
     if (!mSink)
       return;
     if (aFault)
-      return End(BreakOf(aFault));
+      return End(EndFor(aFault));
     constexpr std::uint32_t kFirstFinalStatus = 200;
     if (mParser->get().result_int() < kFirstFinalStatus)
       return ReadHead();
     answer_head const head = TakeAnswerHead(*mParser);
-    NoteIdleTime(head);
+    ReadIdleTimeout(head);
     mIsSkipped = mSink->OnExchangeHead(head) == answer_use::Skip;
     if (!mSink)
       return;
     if (mParser->is_done())
       return OnDone();
-    ReadOn();
+    ReadNext();
   }
 
   void OnRead(boost::system::error_code aFault)
@@ -199,20 +201,20 @@
     if (!mSink)
       return;
     if (aFault && aFault != boost::beast::http::error::need_buffer)
-      return End(BreakOf(aFault));
+      return End(EndFor(aFault));
     std::size_t const size = mPiece.size() - mParser->get().body().size;
     bool const isDone = mParser->is_done();
     if (size == 0 || mIsSkipped)
-      return isDone ? OnDone() : ReadOn();
+      return isDone ? OnDone() : ReadNext();
     mIsDonePending = isDone;
     mSink->OnExchangePiece({ mPiece.data(), size });
     if (mSink && std::exchange(mIsDonePending, false))
       OnDone();
   }
 
-  static exchange_end BreakOf(boost::system::error_code aFault)
+  static exchange_end EndFor(boost::system::error_code aFault)
   {
-    return aFault == boost::asio::error::timed_out ? exchange_end::Silent
+    return aFault == boost::asio::error::timed_out ? exchange_end::Unresponsive
                                                    : exchange_end::Broken;
   }
 
@@ -223,18 +225,19 @@
     End(exchange_end::Complete);
   }
 
-  void NoteIdleTime(answer_head const& aHead)
+  void ReadIdleTimeout(answer_head const& aHead)
   {
-    mIdleTime = kUsualIdleTime;
-    std::optional<std::string_view> const told =
+    mIdleTimeout = kDefaultIdleTimeout;
+    std::optional<std::string_view> const keepAlive =
       FindField(aHead.mFields, "Keep-Alive");
-    if (!told || !told->starts_with("timeout="))
+    if (!keepAlive || !keepAlive->starts_with("timeout="))
       return;
-    std::string_view const seconds = told->substr(told->find('=') + 1);
+    std::string_view const seconds =
+      keepAlive->substr(keepAlive->find('=') + 1);
     std::optional<std::int64_t> const count =
       ParseWholeNumber(seconds.substr(0, seconds.find(',')));
     if (count)
-      mIdleTime = std::chrono::seconds{ *count } - kIdleMargin;
+      mIdleTimeout = std::chrono::seconds{ *count } - kIdleTimeoutMargin;
   }
 
   void End(exchange_end aEnd)
@@ -245,11 +248,11 @@
       return;
     bool const isReusable = aEnd == exchange_end::Complete && mIsWritten &&
                             mParser->get().keep_alive() &&
-                            mBuffer.size() == 0 && mIdleTime.count() > 0;
+                            mBuffer.size() == 0 && mIdleTimeout.count() > 0;
     if (isReusable)
-      mPool.Give(mServer->mRegistered,
-                 { .mSocket = std::move(mSocket),
-                   .mUsableUntil = mClock.Now() + mIdleTime });
+      mPool.Release(mServer->mRegistered,
+                    { .mSocket = std::move(mSocket),
+                      .mUsableUntil = mClock.Now() + mIdleTimeout });
     Close();
     sink->OnExchangeEnd(aEnd);
   }
@@ -264,7 +267,7 @@
   }
 
   boost::asio::io_context& mContext;
-  channel_pool& mPool;
+  connection_pool& mPool;
   std::shared_ptr<tracked_server> mServer;
   /// Null once the exchange has ended.
   std::shared_ptr<Sink> mSink;
@@ -278,7 +281,7 @@
     boost::beast::http::response_parser<boost::beast::http::buffer_body>>
     mParser;
   std::array<char, kPieceBytes> mPiece{};
-  std::chrono::milliseconds mIdleTime{};
+  std::chrono::milliseconds mIdleTimeout{};
   bool mAnswerHasBody = true;
   bool mIsSent = false;
   bool mIsWritten = false;
--- a/Libraries/LibGateway/ServerPick.h
+++ b/Libraries/LibGateway/ServerPick.h
@@ -8,13 +8,13 @@
 
 namespace lycheeseam {
 
-/// A server that was chosen for a request, and what it was chosen by.
+/// A server that was chosen for a request, and the input of the choice.
 struct server_pick
 {
-  /// Keeps alive what mWanted refers to.
+  /// Owns what mChoiceRequest refers to.
   std::shared_ptr<fleet_view const> mView;
-  server_choice_request mWanted;
-  /// Null when none may take the request now.
+  server_choice_request mChoiceRequest;
+  /// Null when no server can take the request now.
   std::shared_ptr<tracked_server> mServer;
 };
 
--- a/Libraries/LibGateway/SessionListener.h
+++ b/Libraries/LibGateway/SessionListener.h
@@ -13,15 +13,15 @@
 namespace lycheeseam {
 
 /// Accepts connections at one address and opens a session for each; Shared is
-/// what the sessions have in common. It knows its sessions by weak references,
-/// for a planned stop.
+/// the state that all sessions use. Keeps weak references to its sessions, so
+/// that a planned stop can find them.
 template<typename Session, typename Shared>
 class session_listener
 {
 public:
   using tcp = boost::asio::ip::tcp;
 
-  /// Throws boost::system::system_error when the address is taken.
+  /// Throws boost::system::system_error when the address is in use.
   session_listener(boost::asio::io_context& aContext,
                    Shared& aShared,
                    endpoint const& aAddress)
@@ -34,7 +34,7 @@
   {
   }
 
-  /// Takes connections from now on.
+  /// Starts accepting connections.
   void Accept()
   {
     mAcceptor.async_accept(
@@ -48,13 +48,13 @@
       });
   }
 
-  /// The port that it accepts at.
+  /// The port that it listens at.
   [[nodiscard]] std::uint16_t Port() const
   {
     return mAcceptor.local_endpoint().port();
   }
 
-  /// Takes no more connections.
+  /// Stops accepting connections.
   void Close()
   {
     boost::system::error_code ignored;
@@ -75,7 +75,7 @@
   }
 
 private:
-  // Without descriptors, accepting at once again would only spin.
+  // Without free file descriptors, another accept at once would only spin.
   static constexpr std::chrono::milliseconds kFaultPause{ 50 };
   static constexpr std::size_t kPruneInterval = 64;
 
--- a/Libraries/LibGateway/TrafficCore.cpp
+++ b/Libraries/LibGateway/TrafficCore.cpp
@@ -6,9 +6,10 @@
 
 namespace {
 
-// Instances count repeats by themselves; what is kept back covers requests
-// that one of them counts in another window than their server does.
-constexpr double kRetryCaution = 0.8;
+// Each instance counts retries for itself. The fraction that is held back
+// covers requests that an instance counts in another window than their server
+// does.
+constexpr double kRetryBudgetFraction = 0.8;
 
 }
 
@@ -30,8 +31,8 @@
   bool const isShareNew = newest->mInstances != mView->mInstances;
   mView = std::move(newest);
   if (isShareNew) {
-    for (allowances::value_type& allowance : mAllowances)
-      allowance.second.SetOptions(AllowanceOptions());
+    for (retry_budgets::value_type& budget : mRetryBudgets)
+      budget.second.SetOptions(RetryBudgetOptions());
   }
   mServers.Apply(*mView);
   mQuota.Apply(aNow, *mView);
@@ -46,37 +47,38 @@
 }
 
 retry_budget_options
-traffic_core::AllowanceOptions() const
+traffic_core::RetryBudgetOptions() const
 {
-  double const slack = kRetryCaution * mOptions.mRetrySlack / mView->mInstances;
-  // Half of the slack may be saved up, half is earned within a window, so that
-  // no window sees more than the whole.
-  return { .mRetriesPerRequest = kRetryCaution * mOptions.mRetryRatio,
+  double const slack =
+    kRetryBudgetFraction * mOptions.mRetrySlack / mView->mInstances;
+  // Half of the slack can be saved up and half is earned within a window, so
+  // that no window sees more than the full slack.
+  return { .mRetriesPerRequest = kRetryBudgetFraction * mOptions.mRetryRatio,
            .mMaxSaved = slack / 2,
            .mRetriesPerSecond =
              slack / 2 / static_cast<double>(mOptions.mRetryWindow.count()) };
 }
 
 retry_budget&
-traffic_core::Allowance(pool_name const& aPool)
+traffic_core::RetryBudget(pool_name const& aPool)
 {
-  return mAllowances.try_emplace(aPool, AllowanceOptions()).first->second;
+  return mRetryBudgets.try_emplace(aPool, RetryBudgetOptions()).first->second;
 }
 
 void
 traffic_core::OnFirstAttempt(pool_name const& aPool)
 {
-  Allowance(aPool).OnRequest();
+  RetryBudget(aPool).OnRequest();
 }
 
 bool
-traffic_core::TryRepeat(instant aNow, pool_name const& aPool)
+traffic_core::TrySpendRetry(instant aNow, pool_name const& aPool)
 {
-  retry_budget& allowance = Allowance(aPool);
-  allowance.OnTime(aNow);
-  if (allowance.TrySpend())
+  retry_budget& budget = RetryBudget(aPool);
+  budget.OnTime(aNow);
+  if (budget.TrySpend())
     return true;
-  mMeter.OnRepeatDenied(aPool);
+  mMeter.OnRetryDenied(aPool);
   return false;
 }
 
@@ -88,26 +90,27 @@
 }
 
 void
-traffic_core::OnAbsent(tracked_server& aServer)
+traffic_core::OnReplaced(tracked_server& aServer)
 {
   aServer.mRegistered.mStage = server_stage::Leaving;
-  mReport.mGone.push_back({ .mServer = aServer.mRegistered.mId,
-                            .mIncarnation = aServer.mRegistered.mIncarnation });
+  mReport.mReplaced.push_back(
+    { .mServer = aServer.mRegistered.mId,
+      .mIncarnation = aServer.mRegistered.mIncarnation });
 }
 
 void
-traffic_core::OnServed(instant aNow, prefix_holder const& aHolder)
+traffic_core::OnPrefixRead(instant aNow, prefix_holder const& aHolder)
 {
   mPrefixes.OnServed(aNow, aHolder);
   mReport.mHolders.push_back(aHolder);
 }
 
 void
-traffic_core::OnPeerUpdate(instant aNow, peer_update const& aNews)
+traffic_core::OnPeerUpdate(instant aNow, peer_update const& aUpdate)
 {
-  for (crash_count const& crash : aNews.mCrashes)
+  for (crash_count const& crash : aUpdate.mCrashes)
     mCrashes.OnCrash(aNow, crash.mFingerprint, crash.mCount);
-  for (prefix_holder const& holder : aNews.mHolders)
+  for (prefix_holder const& holder : aUpdate.mHolders)
     mPrefixes.OnServed(aNow, holder);
 }
 
@@ -120,7 +123,7 @@
   aServer.mBreaker.OnSuccess();
   if (aAnswer.mIsMisdirected && aAnswer.mServer &&
       *aAnswer.mServer != aServer.mRegistered.mId)
-    OnAbsent(aServer);
+    OnReplaced(aServer);
   if (aAnswer.mLoad) {
     aServer.mLoad = aAnswer.mLoad;
     aServer.mLoad->mToldAt = aNow;
@@ -147,8 +150,8 @@
 traffic_core::TakeReport(instant aNow)
 {
   traffic_report report = std::exchange(mReport, {});
-  report.mSpent = mQuota.Spent();
-  report.mUsed = mQuota.UsedByAll(aNow);
+  report.mUsage = mQuota.Spent();
+  report.mWindowUsage = mQuota.UsedByAll(aNow);
   report.mMetrics = mMeter.TakeDelta();
   return report;
 }
@@ -158,7 +161,7 @@
 {
   mCrashes.Prune(aNow);
   mPrefixes.Prune(aNow);
-  mChannels.Prune(aNow);
+  mConnections.Prune(aNow);
 }
 
 }
--- a/Libraries/LibGateway/TrafficCore.h
+++ b/Libraries/LibGateway/TrafficCore.h
@@ -8,7 +8,7 @@
 #include <LibDispatch/PrefixIndex.h>
 #include <LibDispatch/QuotaLimiter.h>
 #include <LibDispatch/ServerTable.h>
-#include <LibGateway/ChannelPool.h>
+#include <LibGateway/ConnectionPool.h>
 #include <LibGateway/GatewayOptions.h>
 #include <LibGateway/PeerUpdate.h>
 #include <LibGateway/ServerAnswer.h>
@@ -22,53 +22,55 @@
 
 namespace lycheeseam {
 
-/// What the requests of one instance share. Runs on the traffic thread; reads
-/// what control publishes and collects what control is to be told.
+/// The state that all requests of one instance share. Runs on the traffic
+/// thread; reads the view that the control thread publishes and collects what
+/// is reported to it.
 class traffic_core
 {
 public:
   traffic_core(gateway_options const& aOptions,
                published<fleet_view> const& aPublished);
 
-  /// The newest view, taken over by all that depends on it.
+  /// The newest view; a new one is first applied to all state that depends on
+  /// it.
   std::shared_ptr<fleet_view const> const& View(instant aNow);
 
-  /// What callers may send now; the defaults without a configuration.
+  /// The limits that callers have now; the defaults without a configuration.
   [[nodiscard]] caller_limits Limits(instant aNow);
 
-  /// Counts a first attempt towards a pool's allowance of repeats.
+  /// Adds a first attempt to a pool's retry budget.
   void OnFirstAttempt(pool_name const& aPool);
 
-  /// Spends a repeat; false when the pool's allowance is used up.
-  [[nodiscard]] bool TryRepeat(instant aNow, pool_name const& aPool);
+  /// Spends one retry; false when the pool's retry budget is used up.
+  [[nodiscard]] bool TrySpendRetry(instant aNow, pool_name const& aPool);
 
-  /// A server was lost while it ran a request.
+  /// The connection to a server failed while it ran a request.
   void OnCrash(instant aNow, std::uint64_t aFingerprint);
 
-  /// A server answered, to a request for a model or a plain one.
+  /// A server answered a request; aModel is empty when the request names none.
   void OnAnswer(instant aNow,
                 tracked_server& aServer,
                 model_name const& aModel,
                 server_answer const& aAnswer);
 
-  /// An answer showed newer weights than were known.
+  /// An answer showed which version of the weights a server has.
   void OnWeights(tracked_server& aServer,
                  model_name const& aModel,
                  std::uint64_t aVersion);
 
-  /// Takes what control is to be told since the last call.
+  /// Takes what was collected for the control thread since the last call.
   [[nodiscard]] traffic_report TakeReport(instant aNow);
 
-  /// Another server answered at its address.
-  void OnAbsent(tracked_server& aServer);
+  /// Another server answered at the address of aServer.
+  void OnReplaced(tracked_server& aServer);
 
-  /// A server read a shared prompt part.
-  void OnServed(instant aNow, prefix_holder const& aHolder);
+  /// A server read a shared prompt prefix.
+  void OnPrefixRead(instant aNow, prefix_holder const& aHolder);
 
-  /// Takes over what another instance saw.
-  void OnPeerUpdate(instant aNow, peer_update const& aNews);
+  /// Takes over what another instance observed.
+  void OnPeerUpdate(instant aNow, peer_update const& aUpdate);
 
-  /// Drops what is too old to matter.
+  /// Drops outdated crash counts, prefixes and idle connections.
   void Prune(instant aNow);
 
   [[nodiscard]] gateway_options const& Options() const noexcept
@@ -80,15 +82,15 @@
   [[nodiscard]] crash_tracker& Crashes() noexcept { return mCrashes; }
   [[nodiscard]] prefix_index& Prefixes() noexcept { return mPrefixes; }
   [[nodiscard]] traffic_meter& Meter() noexcept { return mMeter; }
-  [[nodiscard]] channel_pool& Channels() noexcept { return mChannels; }
-  [[nodiscard]] bool IsLeaving() const noexcept { return mIsLeaving; }
-  void SetLeaving() noexcept { mIsLeaving = true; }
+  [[nodiscard]] connection_pool& Connections() noexcept { return mConnections; }
+  [[nodiscard]] bool IsDraining() const noexcept { return mIsDraining; }
+  void SetDraining() noexcept { mIsDraining = true; }
 
 private:
-  using allowances = std::map<pool_name, retry_budget>;
+  using retry_budgets = std::map<pool_name, retry_budget>;
 
-  retry_budget& Allowance(pool_name const& aPool);
-  [[nodiscard]] retry_budget_options AllowanceOptions() const;
+  retry_budget& RetryBudget(pool_name const& aPool);
+  [[nodiscard]] retry_budget_options RetryBudgetOptions() const;
 
   gateway_options const& mOptions;
   published<fleet_view> const& mPublished;
@@ -97,11 +99,11 @@
   quota_limiter mQuota;
   crash_tracker mCrashes;
   prefix_index mPrefixes;
-  channel_pool mChannels;
-  allowances mAllowances;
+  connection_pool mConnections;
+  retry_budgets mRetryBudgets;
   traffic_meter mMeter;
   traffic_report mReport;
-  bool mIsLeaving = false;
+  bool mIsDraining = false;
 };
 
 }
--- a/Libraries/LibGateway/TrafficMeter.cpp
+++ b/Libraries/LibGateway/TrafficMeter.cpp
@@ -5,15 +5,15 @@
 namespace lycheeseam {
 
 void
-traffic_meter::OnSend(admitted_request const& aRows, bool aIsRepeat)
+traffic_meter::OnSend(admitted_request const& aAdmitted, bool aIsRetry)
 {
-  Count("sends_total", "route", aRows.mRoute->mName.Text());
-  if (aIsRepeat)
-    Count("repeats_total", "pool", aRows.mPool.Text());
+  Count("sends_total", "route", aAdmitted.mRoute->mName.Text());
+  if (aIsRetry)
+    Count("repeats_total", "pool", aAdmitted.mPool.Text());
 }
 
 void
-traffic_meter::OnRepeatDenied(pool_name const& aPool)
+traffic_meter::OnRetryDenied(pool_name const& aPool)
 {
   Count("repeats_denied_total", "pool", aPool.Text());
 }
@@ -35,41 +35,43 @@
 void
 traffic_meter::OnAnswer(instant aNow,
                         run_trace const& aTrace,
-                        admitted_request const& aRows,
+                        admitted_request const& aAdmitted,
                         backend_server_id const& aServer,
                         std::uint32_t aStatus)
 {
   duration const all = aNow - aTrace.mStartedAt;
-  duration const first = aTrace.mFirstAt.value_or(aNow) - aTrace.mStartedAt;
-  std::string const route = aRows.mRoute->mName.Text();
+  duration const first =
+    aTrace.mFirstPieceAt.value_or(aNow) - aTrace.mStartedAt;
+  std::string const route = aAdmitted.mRoute->mName.Text();
   Count("answers_total", "status", std::to_string(aStatus));
   if (aTrace.mFetchFrom)
     Count("prompt_fetches_total", "route", route);
   Observe("route_first_byte_seconds", "route", route, first);
   Observe("route_answer_seconds", "route", route, all);
   Observe("server_first_byte_seconds", "server", ServerLabel(aServer), first);
-  if (aRows.mWorkspace != nullptr)
+  if (aAdmitted.mWorkspace != nullptr)
     Observe("workspace_first_byte_seconds",
             "workspace",
-            aRows.mWorkspace->mName.Text(),
+            aAdmitted.mWorkspace->mName.Text(),
             first);
 }
 
 void
 traffic_meter::OnRefusal(instant aNow,
                          run_trace const& aTrace,
-                         admitted_request const& aRows,
+                         admitted_request const& aAdmitted,
                          request_refusal const& aRefusal)
 {
   Observe("refusal_held_seconds",
           "status",
           std::to_string(static_cast<int>(aRefusal.mStatus)),
           aNow - aTrace.mStartedAt);
-  if (aRows.mRoute != nullptr)
-    Count("route_refusals_total", "route", aRows.mRoute->mName.Text());
-  if (aRows.mWorkspace != nullptr)
-    Count(
-      "workspace_refusals_total", "workspace", aRows.mWorkspace->mName.Text());
+  if (aAdmitted.mRoute != nullptr)
+    Count("route_refusals_total", "route", aAdmitted.mRoute->mName.Text());
+  if (aAdmitted.mWorkspace != nullptr)
+    Count("workspace_refusals_total",
+          "workspace",
+          aAdmitted.mWorkspace->mName.Text());
 }
 
 void
@@ -98,7 +100,7 @@
 std::string
 traffic_meter::ServerLabel(backend_server_id const& aServer)
 {
-  if (mServers.size() >= kMostServers && !mServers.contains(aServer))
+  if (mServers.size() >= kMaxServerSeries && !mServers.contains(aServer))
     return "others";
   mServers.insert(aServer);
   return aServer.Text();
--- a/Libraries/LibGateway/TrafficMeter.h
+++ b/Libraries/LibGateway/TrafficMeter.h
@@ -19,38 +19,39 @@
 class traffic_meter
 {
 public:
-  /// A request was sent to a server; aIsRepeat when it was sent before.
-  void OnSend(admitted_request const& aRows, bool aIsRepeat);
+  /// A request was sent to a server; aIsRetry is true when it had been sent
+  /// before.
+  void OnSend(admitted_request const& aAdmitted, bool aIsRetry);
 
-  /// The fleet's allowance of repeats held one back.
-  void OnRepeatDenied(pool_name const& aPool);
+  /// A retry was denied because the pool's retry budget is used up.
+  void OnRetryDenied(pool_name const& aPool);
 
-  /// An attempt ended that the caller's answer didn't come from.
+  /// An attempt ended without providing the caller's answer.
   void OnAttemptEnd(backend_server_id const& aServer, std::string_view aCause);
 
-  /// Nothing is sent to the server for a while.
+  /// The server's circuit breaker opened: nothing is sent to it for a while.
   void OnBreakerOpened(backend_server_id const& aServer);
 
-  /// A server's answer went to the caller whole.
+  /// The caller was sent the complete answer of a server.
   void OnAnswer(instant aNow,
                 run_trace const& aTrace,
-                admitted_request const& aRows,
+                admitted_request const& aAdmitted,
                 backend_server_id const& aServer,
                 std::uint32_t aStatus);
 
-  /// The router answered by itself.
+  /// The gateway itself refused the request.
   void OnRefusal(instant aNow,
                  run_trace const& aTrace,
-                 admitted_request const& aRows,
+                 admitted_request const& aAdmitted,
                  request_refusal const& aRefusal);
 
   /// What was recorded since the last call.
   [[nodiscard]] metrics_delta TakeDelta() { return mRecorder.TakeDelta(); }
 
 private:
-  // Servers come and go under ever new names; those beyond the first many
-  // count as one, so that a long life doesn't fill the memory.
-  static constexpr std::size_t kMostServers = 5'000;
+  // Servers join and leave under ever new ids. Those beyond this number share
+  // one series, so that memory stays bounded over a long run of the process.
+  static constexpr std::size_t kMaxServerSeries = 5'000;
 
   void Count(char const* aMetric, char const* aLabel, std::string aValue);
   void Observe(char const* aMetric,
--- a/Libraries/LibGateway/TrafficReport.h
+++ b/Libraries/LibGateway/TrafficReport.h
@@ -11,21 +11,22 @@
 
 namespace lycheeseam {
 
-/// What the traffic thread tells control a few times a second.
+/// What the traffic thread reports to the control thread a few times a second.
 struct traffic_report
 {
-  /// What this instance admitted since its start.
-  std::vector<workspace_usage> mSpent;
-  /// What all instances admitted in the quota window that ends now; empty
-  /// until this one has counted for a whole window.
-  std::vector<workspace_usage> mUsed;
-  /// Servers lost by requests since the last report.
+  /// What this instance has admitted since its start.
+  std::vector<workspace_usage> mUsage;
+  /// What all instances admitted in the quota window that ends now; empty until
+  /// this instance has counted for a full window.
+  std::vector<workspace_usage> mWindowUsage;
+  /// Servers that failed while they ran a request, since the last report.
   std::vector<crash_count> mCrashes;
-  /// Versions newer than the servers' entries say, from their answers.
+  /// Versions of weights in answers that are newer than in the servers'
+  /// entries.
   std::vector<observed_weights> mWeights;
-  /// Servers whose address another one has.
-  std::vector<server_identity> mGone;
-  /// Prompt parts that servers read since the last report.
+  /// Servers at whose address another server answered.
+  std::vector<server_identity> mReplaced;
+  /// Shared prompt prefixes that servers read since the last report.
   std::vector<prefix_holder> mHolders;
   /// What the traffic thread counted and timed since the last report.
   metrics_delta mMetrics;
--- a/Libraries/LibGateway/WriteQueue.h
+++ b/Libraries/LibGateway/WriteQueue.h
@@ -10,11 +10,12 @@
 
 namespace lycheeseam {
 
-/// Bytes on their way out of a connection: what comes during a write leaves
-/// with the next one.
+/// The outgoing bytes of a connection: those added during a write are sent with
+/// the next one.
 ///
-/// Owner holds the queue and its socket, has shared_from_this(), and is told
-/// by OnWritten() when all has left and by OnWriteFault() when it can't.
+/// Owner holds the queue and its socket, and has shared_from_this(). Its
+/// OnWritten() is called when all bytes are written, its OnWriteFault() when a
+/// write fails.
 template<typename Owner>
 class write_queue
 {
@@ -27,7 +28,8 @@
   {
   }
 
-  /// Adds bytes; without any, the owner is told once all before has left.
+  /// Adds bytes; without any, only calls OnWritten() once all earlier bytes are
+  /// written.
   void Write(std::string_view aBytes)
   {
     mPending += aBytes;
@@ -35,7 +37,7 @@
       WritePending();
   }
 
-  /// Bytes that the connection hasn't begun to take.
+  /// Bytes whose write has not begun.
   [[nodiscard]] std::size_t Pending() const noexcept { return mPending.size(); }
 
   [[nodiscard]] bool IsWriting() const noexcept { return mIsWriting; }
--- a/Services/lycheeseamd/PlannedStop.h
+++ b/Services/lycheeseamd/PlannedStop.h
@@ -28,7 +28,7 @@
   /// Begins on the context's thread; the future is ready when all is done.
   std::future<void> Begin()
   {
-    mGateway.Leave();
+    mGateway.StartDraining();
     mBeganAt = mClock.Now();
     Check();
     return mDone.get_future();
--- a/Tests/LibGateway/AnswerScript.h
+++ b/Tests/LibGateway/AnswerScript.h
@@ -7,7 +7,7 @@
 
 namespace lycheeseam {
 
-/// Answers to be given one after the other, by any thread.
+/// A list of answers that are taken one after the other, from any thread.
 class answer_script
 {
 public:
@@ -16,7 +16,7 @@
   {
   }
 
-  /// The next answer; "close" when none is left.
+  /// Takes the next answer; "close" when none is left.
   std::string Next()
   {
     std::lock_guard const lock{ mMutex };
--- a/Tests/LibGateway/GatewayFixture.h
+++ b/Tests/LibGateway/GatewayFixture.h
@@ -62,7 +62,7 @@
            .mIsResumable = aKind == request_kind::Stream && aAttempts > 1 };
 }
 
-/// A gateway before scripted servers, and a caller's connection to it.
+/// A gateway in front of scripted servers, and a caller's connection to it.
 class TestGateway : public testing::Test
 {
 protected:
@@ -122,7 +122,7 @@
            aHeaders + "Content-Length: 5\r\nConnection: close\r\n\r\nhello";
   }
 
-  /// Sends bytes and reads until the gateway closes.
+  /// Sends bytes and reads until the gateway closes the connection.
   std::string Exchange(std::string const& aBytes)
   {
     return ExchangeAt(mCallers, aBytes);
@@ -150,7 +150,7 @@
 };
 
 inline bool
-Has(std::string const& aText, std::string const& aPart)
+Contains(std::string const& aText, std::string const& aPart)
 {
   return aText.find(aPart) != std::string::npos;
 }
--- a/Tests/LibGateway/ScriptedServer.h
+++ b/Tests/LibGateway/ScriptedServer.h
@@ -20,9 +20,9 @@
 namespace lycheeseam {
 
 /// A backend server that answers each request with the next answer of its
-/// script, byte for byte; servers may share a script. "close" in place of an
-/// answer closes, "hang" waits for the caller to close. After an answer that
-/// ends with "\a" the connection is closed as well.
+/// script, byte for byte; servers may share a script. "close" instead of an
+/// answer closes the connection, "hang" waits until the gateway closes it.
+/// After an answer that ends with "\a" the connection is closed as well.
 class scripted_server
 {
 public:
@@ -45,7 +45,7 @@
   ~scripted_server()
   {
     mIsStopped = true;
-    // Wakes the thread out of its wait for connections.
+    // The connection makes the thread return from accept.
     tcp::socket waker{ mContext };
     boost::system::error_code ignored;
     waker.connect(mAcceptor.local_endpoint(), ignored);
@@ -60,14 +60,14 @@
              .mPort = mAcceptor.local_endpoint().port() };
   }
 
-  /// The requests so far, head and body as they came.
+  /// The requests so far, head and body as received.
   [[nodiscard]] std::vector<std::string> Requests()
   {
     std::lock_guard const lock{ mMutex };
     return mRequests;
   }
 
-  /// How many connections their callers closed while an answer was due.
+  /// How many connections the gateway closed while an answer was due.
   [[nodiscard]] int Abandoned() const { return mAbandoned; }
 
 private:
--- /dev/null
+++ b/Tests/LibGateway/TestEventSplitter.cpp
@@ -0,0 +1,43 @@
+#include <LibGateway/EventSplitter.h>
+
+#include <gtest/gtest.h>
+
+namespace lycheeseam {
+
+namespace {
+
+TEST(TestEventSplitter, ReturnsCompleteEventsForEverySplit)
+{
+  std::string const stream = "id: 1\ndata: a\n\nid: 2\ndata: id: 9\n\n";
+  for (std::size_t cut = 0; cut <= stream.size(); ++cut) {
+    event_splitter splitter;
+    std::string out = splitter.Split(stream.substr(0, cut));
+    EXPECT_TRUE(out.empty() || out.ends_with("\n\n"));
+    out += splitter.Split(stream.substr(cut));
+    EXPECT_EQ(out, stream);
+    EXPECT_EQ(splitter.LastId(), 2U);
+    EXPECT_TRUE(splitter.IsAtEventEnd());
+  }
+}
+
+TEST(TestEventSplitter, KeepsPartialEvent)
+{
+  event_splitter splitter;
+  EXPECT_EQ(splitter.Split("id: 1\n\nid: 2\nda"), "id: 1\n\n");
+  EXPECT_FALSE(splitter.IsAtEventEnd());
+  EXPECT_EQ(splitter.LastId(), 1U);
+  splitter.DropPartial();
+  EXPECT_EQ(splitter.Split("id: 2\n\n"), "id: 2\n\n");
+}
+
+TEST(TestEventSplitter, ReturnsPartialEventOnRequest)
+{
+  event_splitter splitter;
+  EXPECT_EQ(splitter.Split("plain bytes"), "");
+  EXPECT_EQ(splitter.TakePartial(), "plain bytes");
+  EXPECT_FALSE(splitter.LastId());
+}
+
+}
+
+}
--- a/Tests/LibGateway/TestGatewayAnswers.cpp
+++ b/Tests/LibGateway/TestGatewayAnswers.cpp
@@ -9,8 +9,10 @@
 
 using tcp = boost::asio::ip::tcp;
 
-// Found on trouble-2: bytes of two servers in one answer.
-TEST_F(TestGateway, ABrokenAnswerOfUnknownLengthIsReplacedWhole)
+// Guards against an answer that mixes bytes of two servers, found on day
+// trouble-2: an answer of unknown length breaks off after its first part, and
+// another server answers completely.
+TEST_F(TestGateway, BrokenAnswerOfUnknownLengthIsReplacedCompletely)
 {
   std::string const broken =
     "HTTP/1.1 200 OK\r\nRequest-Id: r1\r\nServer-Stamp: s\r\n"
@@ -23,10 +25,10 @@
   StartGateway(std::array{ &first, &second });
   std::string const answer = Exchange(Request("/safe/x"));
   EXPECT_TRUE(answer.ends_with("\r\n\r\nwhole"));
-  EXPECT_FALSE(Has(answer, "part of"));
+  EXPECT_FALSE(Contains(answer, "part of"));
 }
 
-TEST_F(TestGateway, AnswersThatEndWithTheirConnectionAreComplete)
+TEST_F(TestGateway, AnswerThatEndsWithItsConnectionIsComplete)
 {
   scripted_server server{
     { "HTTP/1.1 200 OK\r\nRequest-Id: r1\r\nServer-Stamp: s\r\n\r\nall\a" }
@@ -34,10 +36,10 @@
   StartGateway(std::array{ &server });
   std::string const answer = Exchange(Request("/safe/x"));
   EXPECT_TRUE(answer.ends_with("\r\n\r\nall"));
-  EXPECT_TRUE(Has(answer, "Content-Length: 3"));
+  EXPECT_TRUE(Contains(answer, "Content-Length: 3"));
 }
 
-TEST_F(TestGateway, AnAnswerToAnotherRequestIsSkipped)
+TEST_F(TestGateway, AnswerToAnotherRequestIsSkipped)
 {
   std::string stray = Answer("stray");
   stray.replace(stray.find("r1"), 2, "r0");
@@ -46,18 +48,18 @@
   EXPECT_TRUE(Exchange(Request("/once/x")).ends_with("\r\n\r\nown"));
 }
 
-TEST_F(TestGateway, ASuccessWithoutTheServersMarkIsNone)
+TEST_F(TestGateway, SuccessWithoutServerStampIsRejected)
 {
   scripted_server server{
     { "HTTP/1.1 200 OK\r\nRequest-Id: r1\r\nContent-Length: 1\r\n\r\nx" }
   };
   StartGateway(std::array{ &server });
-  EXPECT_TRUE(Has(Exchange(Request("/once/x")), "502"));
+  EXPECT_TRUE(Contains(Exchange(Request("/once/x")), "502"));
 }
 
-TEST_F(TestGateway, AStreamGoesOnAtAnotherServer)
+TEST_F(TestGateway, StreamContinuesOnAnotherServer)
 {
-  // Whichever is chosen first breaks off in its second event.
+  // The server that is chosen first breaks off in its second event.
   std::string const broken =
     StreamHead() + Chunk("id: 1\ndata: a\n\nid: 2\nda") + "\a";
   std::string const rest =
@@ -68,26 +70,26 @@
   scripted_server second{ script };
   StartGateway(std::array{ &first, &second });
   std::string const answer = Exchange(Request("/stream/x"));
-  EXPECT_TRUE(Has(answer, "id: 1\ndata: a\n\n"));
-  EXPECT_TRUE(Has(answer, "id: 2\ndata: b\n\n"));
+  EXPECT_TRUE(Contains(answer, "id: 1\ndata: a\n\n"));
+  EXPECT_TRUE(Contains(answer, "id: 2\ndata: b\n\n"));
   EXPECT_TRUE(answer.ends_with(kLastChunk));
   ASSERT_EQ(first.Requests().size(), 1U);
   ASSERT_EQ(second.Requests().size(), 1U);
-  bool const isFirst = Has(first.Requests()[0], "Last-Event-Id: 1");
-  bool const isSecond = Has(second.Requests()[0], "Last-Event-Id: 1");
+  bool const isFirst = Contains(first.Requests()[0], "Last-Event-Id: 1");
+  bool const isSecond = Contains(second.Requests()[0], "Last-Event-Id: 1");
   EXPECT_NE(isFirst, isSecond);
 }
 
-TEST_F(TestGateway, AStreamThatCannotGoOnEndsOpenly)
+TEST_F(TestGateway, BrokenNonResumableStreamEndsWithoutLastChunk)
 {
   scripted_server server{ { StreamHead() + Chunk("id: 1\n\n") + "\a" } };
   StartGateway(std::array{ &server });
   std::string const answer = Exchange(Request("/single/x"));
-  EXPECT_TRUE(Has(answer, "id: 1\n\n"));
+  EXPECT_TRUE(Contains(answer, "id: 1\n\n"));
   EXPECT_FALSE(answer.ends_with(kLastChunk));
 }
 
-TEST_F(TestGateway, ACallersCloseReachesTheServer)
+TEST_F(TestGateway, CallerDisconnectClosesTheServerConnection)
 {
   scripted_server server{ { "hang" } };
   StartGateway(std::array{ &server });
@@ -107,14 +109,14 @@
   EXPECT_EQ(server.Abandoned(), 1);
 }
 
-TEST_F(TestGateway, ASilentServerEndsInATimeout)
+TEST_F(TestGateway, UnansweredRequestEndsInTimeout)
 {
   scripted_server server{ { "hang" } };
   StartGateway(std::array{ &server });
-  EXPECT_TRUE(Has(Exchange(Request("/once/x")), "504"));
+  EXPECT_TRUE(Contains(Exchange(Request("/once/x")), "504"));
 }
 
-TEST_F(TestGateway, AddressesAreThoseOfTheView)
+TEST_F(TestGateway, AddressQueryReturnsEntriesOfTheView)
 {
   scripted_server server{ std::vector<std::string>{} };
   StartGateway(std::array{ &server });
@@ -122,7 +124,7 @@
     ExchangeAt(mAddresses,
                "GET /api/resolve?name=h HTTP/1.1\r\nHost: x\r\nConnection: "
                "close\r\n\r\n");
-  EXPECT_TRUE(Has(answer, mCallers.Text()));
+  EXPECT_TRUE(Contains(answer, mCallers.Text()));
 }
 }
 
--- a/Tests/LibGateway/TestRunDecisions.cpp
+++ b/Tests/LibGateway/TestRunDecisions.cpp
@@ -12,22 +12,22 @@
 
 instant const kNow{ std::chrono::seconds{ 100 } };
 
-TEST(TestJudgeAnswer, OnlyASignedSuccessGoesToTheCaller)
+TEST(TestJudgeAnswer, AcceptsSuccessOnlyWithServerStamp)
 {
   answer_head const success{ .mStatus = 200 };
-  EXPECT_EQ(JudgeAnswer(success, { .mIsSigned = true }, false),
-            attempt_outcome::Taken);
-  EXPECT_EQ(JudgeAnswer(success, {}, false), attempt_outcome::Spoiled);
+  EXPECT_EQ(JudgeAnswer(success, { .mHasServerStamp = true }, false),
+            attempt_outcome::Accepted);
+  EXPECT_EQ(JudgeAnswer(success, {}, false), attempt_outcome::Invalid);
 }
 
-TEST(TestJudgeAnswer, AServersFailureIsReplacedWhereItMayBe)
+TEST(TestJudgeAnswer, FailureIsAcceptedUnlessReplaceable)
 {
   answer_head const failure{ .mStatus = 500 };
   EXPECT_EQ(JudgeAnswer(failure, {}, true), attempt_outcome::Failed);
-  EXPECT_EQ(JudgeAnswer(failure, {}, false), attempt_outcome::Taken);
+  EXPECT_EQ(JudgeAnswer(failure, {}, false), attempt_outcome::Accepted);
 }
 
-TEST(TestJudgeAnswer, WhatHasNotRunIsNoAnswer)
+TEST(TestJudgeAnswer, RefusedOrMisdirectedRequestHasNotRun)
 {
   answer_head const full{ .mStatus = 503 };
   EXPECT_EQ(JudgeAnswer(full, { .mIsNotRun = true }, false),
@@ -42,41 +42,42 @@
   dispatch_route mRoute{ .mKind = request_kind::Idempotent,
                          .mTargetLatency = milliseconds{ 80 },
                          .mMaxAttempts = 2 };
-  admitted_request mRows{ .mRoute = &mRoute,
-                          .mDeadline = kNow + milliseconds{ 500 } };
+  admitted_request mAdmitted{ .mRoute = &mRoute,
+                              .mDeadline = kNow + milliseconds{ 500 } };
   run_trace mTrace{ .mStartedAt = kNow, .mSends = 1 };
 };
 
-TEST_F(TestRunLimits, WhatMayHaveRunIsRepeatedWithinTheRoutesAttempts)
+TEST_F(TestRunLimits, RetriesIdempotentRequestWithinMaxAttempts)
 {
-  EXPECT_TRUE(MayRepeat(mRows, mTrace, kNow));
+  EXPECT_TRUE(MayRetry(mAdmitted, mTrace, kNow));
   mTrace.mSends = 2;
-  EXPECT_FALSE(MayRepeat(mRows, mTrace, kNow));
+  EXPECT_FALSE(MayRetry(mAdmitted, mTrace, kNow));
   mTrace.mSends = 1;
   mRoute.mKind = request_kind::NonIdempotent;
-  EXPECT_FALSE(MayRepeat(mRows, mTrace, kNow));
+  EXPECT_FALSE(MayRetry(mAdmitted, mTrace, kNow));
 }
 
-TEST_F(TestRunLimits, NothingIsSentShortlyBeforeTheDeadline)
+TEST_F(TestRunLimits, AllowsNoAttemptShortlyBeforeDeadline)
 {
-  EXPECT_FALSE(IsTooLate(mRows, kNow + milliseconds{ 490 }));
-  EXPECT_TRUE(IsTooLate(mRows, kNow + milliseconds{ 491 }));
-  EXPECT_FALSE(MayRepeat(mRows, mTrace, kNow + milliseconds{ 490 }));
+  EXPECT_FALSE(IsTooLate(mAdmitted, kNow + milliseconds{ 490 }));
+  EXPECT_TRUE(IsTooLate(mAdmitted, kNow + milliseconds{ 491 }));
+  EXPECT_FALSE(MayRetry(mAdmitted, mTrace, kNow + milliseconds{ 490 }));
 }
 
-TEST_F(TestRunLimits, WhatHasNotRunMayGoToTwoMore)
+TEST_F(TestRunLimits, AllowsTwoMoreSendsWhenNotRun)
 {
   mRoute.mKind = request_kind::NonIdempotent;
   mTrace.mSends = 3;
-  EXPECT_TRUE(MaySendElsewhere(mRows, mTrace));
+  EXPECT_TRUE(MayTryAnotherServer(mAdmitted, mTrace));
   mTrace.mSends = 4;
-  EXPECT_FALSE(MaySendElsewhere(mRows, mTrace));
+  EXPECT_FALSE(MayTryAnotherServer(mAdmitted, mTrace));
 }
 
-TEST_F(TestRunLimits, APlaceIsWaitedForDuringAnEighthOfTheTarget)
+TEST_F(TestRunLimits, WaitsForCapacityUpToAnEighthOfTargetLatency)
 {
-  EXPECT_TRUE(MayWaitForPlace(mRows, mTrace, kNow + milliseconds{ 10 }));
-  EXPECT_FALSE(MayWaitForPlace(mRows, mTrace, kNow + milliseconds{ 11 }));
+  EXPECT_TRUE(MayWaitForCapacity(mAdmitted, mTrace, kNow + milliseconds{ 10 }));
+  EXPECT_FALSE(
+    MayWaitForCapacity(mAdmitted, mTrace, kNow + milliseconds{ 11 }));
 }
 
 }
--- a/Tests/LibGateway/TestTrafficCore.cpp
+++ b/Tests/LibGateway/TestTrafficCore.cpp
@@ -14,19 +14,19 @@
 class TestTrafficCore : public testing::Test
 {
 protected:
-  void See(std::uint32_t aInstances)
+  void PublishInstances(std::uint32_t aInstances)
   {
     mView.Publish(std::make_shared<fleet_view const>(
       fleet_view{ .mInstances = aInstances }));
     mCore.View(kNow);
   }
 
-  int Repeats()
+  int CountRetries()
   {
-    int repeats = 0;
-    while (mCore.TryRepeat(kNow, kPool))
-      ++repeats;
-    return repeats;
+    int retries = 0;
+    while (mCore.TrySpendRetry(kNow, kPool))
+      ++retries;
+    return retries;
   }
 
   gateway_options mOptions{ .mRetrySlack = 100 };
@@ -34,21 +34,21 @@
   traffic_core mCore{ mOptions, mView };
 };
 
-// Half of the slack may be saved up, less a fifth kept back.
-TEST_F(TestTrafficCore, ALoneInstanceMayRepeatForAll)
+// Half of the slack can be saved up, less a fifth that is held back.
+TEST_F(TestTrafficCore, SingleInstanceHasFullRetryBudget)
 {
-  See(1);
-  EXPECT_EQ(Repeats(), 40);
+  PublishInstances(1);
+  EXPECT_EQ(CountRetries(), 40);
 }
 
-// An instance that repeated before it knew of the others kept the share that
-// it had then.
-TEST_F(TestTrafficCore, InstancesThatAreFoundLaterTakeTheirShare)
+// Guards against an instance that keeps the share it had alone: one that
+// retried before it learned of the others did not lower its budget.
+TEST_F(TestTrafficCore, RetryBudgetShrinksWhenInstancesJoin)
 {
-  See(1);
-  EXPECT_TRUE(mCore.TryRepeat(kNow, kPool));
-  See(4);
-  EXPECT_EQ(Repeats(), 10);
+  PublishInstances(1);
+  EXPECT_TRUE(mCore.TrySpendRetry(kNow, kPool));
+  PublishInstances(4);
+  EXPECT_EQ(CountRetries(), 10);
 }
 
 }
--- a/Tests/LibGateway/TestTrafficMeter.cpp
+++ b/Tests/LibGateway/TestTrafficMeter.cpp
@@ -20,7 +20,8 @@
     return mStore.Report();
   }
 
-  std::uint64_t Counted(std::string const& aMetric, std::string const& aValue)
+  std::uint64_t CounterTotal(std::string const& aMetric,
+                             std::string const& aValue)
   {
     metrics_report const report = Report();
     auto const found =
@@ -33,7 +34,8 @@
     return found == report.mCounters.end() ? 0 : found->mTotal;
   }
 
-  latency_histogram Timed(std::string const& aMetric, std::string const& aValue)
+  latency_histogram Histogram(std::string const& aMetric,
+                              std::string const& aValue)
   {
     metrics_report const report = Report();
     auto const found =
@@ -49,61 +51,62 @@
 
   dispatch_route mRoute{ .mName = route_name{ "chat" } };
   dispatch_workspace mWorkspace{ .mName = workspace_id{ "shop" } };
-  admitted_request mRows{ .mRoute = &mRoute,
-                          .mWorkspace = &mWorkspace,
-                          .mPool = pool_name{ "engines" } };
+  admitted_request mAdmitted{ .mRoute = &mRoute,
+                              .mWorkspace = &mWorkspace,
+                              .mPool = pool_name{ "engines" } };
   instant mStart{ std::chrono::seconds{ 50 } };
   run_trace mTrace{ .mStartedAt = mStart };
   traffic_meter mMeter;
   metrics_store mStore;
 };
 
-TEST_F(TestTrafficMeter, CountsRepeatsApart)
+TEST_F(TestTrafficMeter, CountsRetriesSeparately)
 {
-  mMeter.OnSend(mRows, false);
-  mMeter.OnSend(mRows, true);
-  mMeter.OnRepeatDenied(mRows.mPool);
-  EXPECT_EQ(Counted("sends_total", "chat"), 2u);
-  EXPECT_EQ(Counted("repeats_total", "engines"), 1u);
-  EXPECT_EQ(Counted("repeats_denied_total", "engines"), 1u);
+  mMeter.OnSend(mAdmitted, false);
+  mMeter.OnSend(mAdmitted, true);
+  mMeter.OnRetryDenied(mAdmitted.mPool);
+  EXPECT_EQ(CounterTotal("sends_total", "chat"), 2u);
+  EXPECT_EQ(CounterTotal("repeats_total", "engines"), 1u);
+  EXPECT_EQ(CounterTotal("repeats_denied_total", "engines"), 1u);
 }
 
-TEST_F(TestTrafficMeter, TimesAnswersToTheirFirstPiece)
+TEST_F(TestTrafficMeter, TimesFirstPieceAndFullAnswer)
 {
-  mTrace.mFirstAt = mStart + milliseconds{ 300 };
+  mTrace.mFirstPieceAt = mStart + milliseconds{ 300 };
   mMeter.OnAnswer(mStart + milliseconds{ 900 },
                   mTrace,
-                  mRows,
+                  mAdmitted,
                   backend_server_id{ "s1" },
                   200);
-  EXPECT_EQ(Timed("route_first_byte_seconds", "chat").Sum(),
+  EXPECT_EQ(Histogram("route_first_byte_seconds", "chat").Sum(),
             milliseconds{ 300 });
-  EXPECT_EQ(Timed("route_answer_seconds", "chat").Sum(), milliseconds{ 900 });
-  EXPECT_EQ(Timed("workspace_first_byte_seconds", "shop").Count(), 1u);
-  EXPECT_EQ(Timed("server_first_byte_seconds", "s1").Count(), 1u);
-  EXPECT_EQ(Counted("answers_total", "200"), 1u);
+  EXPECT_EQ(Histogram("route_answer_seconds", "chat").Sum(),
+            milliseconds{ 900 });
+  EXPECT_EQ(Histogram("workspace_first_byte_seconds", "shop").Count(), 1u);
+  EXPECT_EQ(Histogram("server_first_byte_seconds", "s1").Count(), 1u);
+  EXPECT_EQ(CounterTotal("answers_total", "200"), 1u);
 }
 
-TEST_F(TestTrafficMeter, CountsRefusalsOfUnknownRoutes)
+TEST_F(TestTrafficMeter, CountsRefusalsWithAndWithoutRoute)
 {
   mMeter.OnRefusal(mStart + milliseconds{ 20 },
                    mTrace,
                    admitted_request{},
                    { .mStatus = refusal_status::NotFound });
   mMeter.OnRefusal(
-    mStart, mTrace, mRows, { .mStatus = refusal_status::OverQuota });
-  EXPECT_EQ(Timed("refusal_held_seconds", "404").Sum(), milliseconds{ 20 });
-  EXPECT_EQ(Timed("refusal_held_seconds", "429").Count(), 1u);
-  EXPECT_EQ(Counted("route_refusals_total", "chat"), 1u);
-  EXPECT_EQ(Counted("workspace_refusals_total", "shop"), 1u);
+    mStart, mTrace, mAdmitted, { .mStatus = refusal_status::OverQuota });
+  EXPECT_EQ(Histogram("refusal_held_seconds", "404").Sum(), milliseconds{ 20 });
+  EXPECT_EQ(Histogram("refusal_held_seconds", "429").Count(), 1u);
+  EXPECT_EQ(CounterTotal("route_refusals_total", "chat"), 1u);
+  EXPECT_EQ(CounterTotal("workspace_refusals_total", "shop"), 1u);
 }
 
-TEST_F(TestTrafficMeter, BoundsTheServersThatHaveSeriesOfTheirOwn)
+TEST_F(TestTrafficMeter, LimitsServersWithSeriesOfTheirOwn)
 {
   for (int index = 0; index < 5'100; ++index)
     mMeter.OnBreakerOpened(backend_server_id{ "s" + std::to_string(index) });
-  EXPECT_EQ(Counted("breakers_opened_total", "others"), 100u);
-  EXPECT_EQ(Counted("breakers_opened_total", "s0"), 1u);
+  EXPECT_EQ(CounterTotal("breakers_opened_total", "others"), 100u);
+  EXPECT_EQ(CounterTotal("breakers_opened_total", "s0"), 1u);
 }
 
 }
--- a/Tests/Platform/TestRequestDialect.cpp
+++ b/Tests/Platform/TestRequestDialect.cpp
@@ -101,7 +101,7 @@
                                                { "Server-Load", "3,1,8" },
                                                { "Weight-Versions", "4" } } });
   EXPECT_EQ(answer.mRequest, request_id{ "r" });
-  EXPECT_TRUE(answer.mIsSigned);
+  EXPECT_TRUE(answer.mHasServerStamp);
   EXPECT_FALSE(answer.mIsNotRun);
   EXPECT_EQ(answer.mVersion, 4U);
   ASSERT_TRUE(answer.mLoad);
