--- a/Libraries/LibFleet/FleetControl.h
+++ b/Libraries/LibFleet/FleetControl.h
@@ -103,12 +103,12 @@
   /// Applies a report of the traffic thread.
   void OnReport(traffic_report aReport)
   {
-    for (server_identity const& server : aReport.mGone)
+    for (server_identity const& server : aReport.mReplaced)
       mRecords.OnAddressTaken(server);
     OnObservedWeights(aReport.mWeights);
     mMetrics.Merge(aReport.mMetrics);
-    mOwnUsage = std::move(aReport.mSpent);
-    mWindowUsage = std::move(aReport.mUsed);
+    mOwnUsage = std::move(aReport.mUsage);
+    mWindowUsage = std::move(aReport.mWindowUsage);
     mLinks.Add({ .mCrashes = std::move(aReport.mCrashes),
                  .mHolders = std::move(aReport.mHolders) });
     ReportToPeers();
--- a/Libraries/LibFleet/FleetMetrics.h
+++ b/Libraries/LibFleet/FleetMetrics.h
@@ -2,7 +2,7 @@
 
 #include <LibCore/Instant.h>
 #include <LibDispatch/FleetView.h>
-#include <LibGateway/OwnAnswer.h>
+#include <LibGateway/LocalAnswer.h>
 #include <LibHttp/RequestHead.h>
 #include <LibMetrics/MetricsRecorder.h>
 #include <LibMetrics/MetricsStore.h>
@@ -28,7 +28,7 @@
 
   /// Answers a request at the metrics address: GET /metrics with the metrics,
   /// all else with status 404.
-  own_answer Answer(request_head const& aQuery);
+  local_answer Answer(request_head const& aQuery);
 
 private:
   void CountEvents();
