--- a/Libraries/LibDispatch/CallerLimits.h
+++ b/Libraries/LibDispatch/CallerLimits.h
@@ -7,8 +7,8 @@
 
 namespace lycheeseam {
 
-/// What a caller may send, and how long it may take. The defaults hold until
-/// the first configuration is read.
+/// Size and time limits of a caller's request. The defaults apply until the
+/// first configuration is read.
 struct caller_limits
 {
   std::uint32_t mHeaderBytes = 16'384;
--- a/Libraries/LibDispatch/ChooseServer.cpp
+++ b/Libraries/LibDispatch/ChooseServer.cpp
@@ -7,16 +7,18 @@
 
 namespace {
 
-// Bounded load: a server may have this much of the mean, and this part of its
-// places besides, before prompts go on to the next one.
+// Bounded loads: a server gets prompts while its pressure is at most
+// kLoadFactor times the mean pressure plus kLoadAllowance, which is a part of
+// its own capacity. Beyond, prompts go to the next server by rank.
 constexpr double kLoadFactor = 1.25;
 constexpr double kLoadAllowance = 0.12;
 
-// Beyond this part of its places or memory an engine's requests slow each
-// other down, so that servers with older weights are the better choice.
+// Above this part of its slots or memory an engine's requests slow each other
+// down, so that servers with older weights are the better choice.
 constexpr double kBusyPressure = 0.6;
 
-// Answers on weights that were replaced so long ago are refused or worthless.
+// Answers computed with weights that were replaced longer ago than
+// mOutdatedAfter are refused or useless.
 bool
 IsOutdated(tracked_server const& aServer, server_choice_request const& aRequest)
 {
@@ -28,8 +30,7 @@
 }
 
 bool
-MayTakeWork(tracked_server const& aServer,
-            server_choice_request const& aRequest)
+IsEligible(tracked_server const& aServer, server_choice_request const& aRequest)
 {
   if (aServer.mRegistered.mStage != server_stage::Ready || aServer.mIsUpdating)
     return false;
@@ -46,15 +47,15 @@
 }
 
 std::vector<tracked_server*>
-Usable(std::span<tracked_server* const> aServers,
-       server_choice_request const& aRequest)
+EligibleServers(std::span<tracked_server* const> aServers,
+                server_choice_request const& aRequest)
 {
-  std::vector<tracked_server*> usable;
+  std::vector<tracked_server*> eligible;
   for (tracked_server* const server : aServers) {
-    if (MayTakeWork(*server, aRequest))
-      usable.push_back(server);
+    if (IsEligible(*server, aRequest))
+      eligible.push_back(server);
   }
-  return usable;
+  return eligible;
 }
 
 double
@@ -85,17 +86,18 @@
   return best;
 }
 
-// The server with the highest rank for a prompt among those that pass.
+// The server with the highest rank for a prompt among those that satisfy the
+// predicate, or null.
 template<typename Predicate>
 tracked_server*
 HighestRanked(std::span<tracked_server* const> aServers,
               std::uint64_t aPromptKey,
-              Predicate aPasses)
+              Predicate aPredicate)
 {
   tracked_server* best = nullptr;
   std::uint64_t bestRank = 0;
   for (tracked_server* const server : aServers) {
-    if (!aPasses(*server))
+    if (!aPredicate(*server))
       continue;
     std::uint64_t const rank = RendezvousRank(aPromptKey, server->mSeed);
     if (best == nullptr || rank > bestRank) {
@@ -107,8 +109,8 @@
 }
 
 tracked_server*
-FirstInOrder(std::span<tracked_server* const> aServers,
-             server_choice_request const& aRequest)
+PreferredForPrompt(std::span<tracked_server* const> aServers,
+                   server_choice_request const& aRequest)
 {
   double const bound =
     kLoadFactor * MeanPressure(aServers, aRequest.mNow) + kLoadAllowance;
@@ -119,7 +121,7 @@
                        });
 }
 
-// By the version of their weights, the newest first.
+// Groups servers by the version of their weights, newest first.
 std::vector<std::vector<tracked_server*>>
 GroupByVersion(std::vector<tracked_server*> aServers, model_name const& aModel)
 {
@@ -138,8 +140,8 @@
   return groups;
 }
 
-// Servers with the newest weights while they can bear the load, else those
-// with older ones.
+// Prefers the newest weights and goes on to older ones when the servers with
+// newer ones are busy; the least loaded server when all are.
 tracked_server*
 ChooseEngine(std::vector<tracked_server*> const& aServers,
              server_choice_request const& aRequest)
@@ -147,7 +149,7 @@
   for (std::vector<tracked_server*> const& group :
        GroupByVersion(aServers, aRequest.mModel)) {
     tracked_server* const first = aRequest.mPromptKey
-                                    ? FirstInOrder(group, aRequest)
+                                    ? PreferredForPrompt(group, aRequest)
                                     : LeastLoaded(group, aRequest);
     if (first != nullptr && first->Pressure(aRequest.mNow) < kBusyPressure)
       return first;
@@ -160,7 +162,7 @@
 std::uint64_t
 RendezvousRank(std::uint64_t aPromptKey, std::uint64_t aServerSeed)
 {
-  // The finalizer of splitmix64, which spreads each bit over all others.
+  // The finalizer of splitmix64: each input bit affects all output bits.
   std::uint64_t value = aPromptKey ^ aServerSeed;
   value = (value ^ (value >> 30U)) * 0xbf58476d1ce4e5b9ULL;
   value = (value ^ (value >> 27U)) * 0x94d049bb133111ebULL;
@@ -171,10 +173,11 @@
 ChooseServer(std::span<tracked_server* const> aServers,
              server_choice_request const& aRequest)
 {
-  std::vector<tracked_server*> const usable = Usable(aServers, aRequest);
+  std::vector<tracked_server*> const eligible =
+    EligibleServers(aServers, aRequest);
   if (!aRequest.mModel.IsEmpty())
-    return ChooseEngine(usable, aRequest);
-  return LeastLoaded(usable, aRequest);
+    return ChooseEngine(eligible, aRequest);
+  return LeastLoaded(eligible, aRequest);
 }
 
 tracked_server*
--- a/Libraries/LibDispatch/ChooseServer.h
+++ b/Libraries/LibDispatch/ChooseServer.h
@@ -7,24 +7,26 @@
 
 namespace lycheeseam {
 
-/// The backend server for a request, or null when none may take it.
+/// Returns the backend server for a request, or null when none is eligible.
 ///
-/// Model requests go by rendezvous hashing with bounded load, so instances
-/// that don't talk choose the same server for a prompt, among the servers
-/// with the newest weights while these can bear the load. Plain requests go
-/// to the least loaded server, the own failure domain first among equals.
+/// Model requests use rendezvous hashing with bounded loads, so that instances
+/// choose the same server for a prompt without communication. Servers with the
+/// newest weights are preferred until they are busy. Other requests go to the
+/// least loaded server; among equals, one in the instance's own failure domain
+/// is preferred.
 tracked_server*
 ChooseServer(std::span<tracked_server* const> aServers,
              server_choice_request const& aRequest);
 
-/// The server that most likely holds a prompt's shared part besides aChosen:
-/// the next one in the order of the rendezvous with the same weights.
+/// Returns the server other than aChosen that most likely caches the prompt's
+/// shared part: the one with the highest rendezvous rank among those with the
+/// same version of the weights. Null when there is none.
 tracked_server*
 ChooseCacheSource(std::span<tracked_server* const> aServers,
                   server_choice_request const& aRequest,
                   tracked_server const& aChosen);
 
-/// The place of a server in the order for a prompt; the highest is first.
+/// The rendezvous hash of a prompt and a server; the highest rank is preferred.
 std::uint64_t
 RendezvousRank(std::uint64_t aPromptKey, std::uint64_t aServerSeed);
 
--- a/Libraries/LibDispatch/CrashCount.h
+++ b/Libraries/LibDispatch/CrashCount.h
@@ -4,10 +4,10 @@
 
 namespace lycheeseam {
 
-/// How many servers were lost while they ran a request.
+/// How many servers crashed while they ran one request.
 struct crash_count
 {
-  /// Of the request's path, key and body.
+  /// Hash of the request's path, key and body.
   std::uint64_t mFingerprint = 0;
   std::uint32_t mCount = 0;
 
--- a/Libraries/LibDispatch/CrashTracker.cpp
+++ b/Libraries/LibDispatch/CrashTracker.cpp
@@ -6,12 +6,12 @@
 
 namespace {
 
-// Two servers may be lost by chance while one request runs; a third is a
-// pattern.
-constexpr std::uint32_t kCrashesOfPoison = 3;
+// Two servers may crash by coincidence while one request runs; a third crash
+// marks the request as their cause.
+constexpr std::uint32_t kPoisonCrashes = 3;
 
-// A caller that sends a crash-making request again does so within minutes.
-constexpr duration kMemory = std::chrono::minutes{ 2 };
+// Callers repeat a request that crashes servers within minutes.
+constexpr duration kCrashLifetime = std::chrono::minutes{ 2 };
 
 }
 
@@ -27,15 +27,15 @@
 crash_tracker::IsPoison(instant aNow, fingerprint aRequest) const
 {
   auto const found = mCrashes.find(aRequest);
-  return found != mCrashes.end() && found->second.mCount >= kCrashesOfPoison &&
-         aNow - found->second.mLastAt < kMemory;
+  return found != mCrashes.end() && found->second.mCount >= kPoisonCrashes &&
+         aNow - found->second.mLastAt < kCrashLifetime;
 }
 
 void
 crash_tracker::Prune(instant aNow)
 {
   std::erase_if(mCrashes, [aNow](auto const& aEntry) {
-    return aNow - aEntry.second.mLastAt >= kMemory;
+    return aNow - aEntry.second.mLastAt >= kCrashLifetime;
   });
 }
 
--- a/Libraries/LibDispatch/CrashTracker.h
+++ b/Libraries/LibDispatch/CrashTracker.h
@@ -8,23 +8,23 @@
 
 namespace lycheeseam {
 
-/// Counts the servers that were lost while they ran a request, by the
-/// request's fingerprint, and tells when to stop sending it.
+/// Counts server crashes by the fingerprint of the request that was running, to
+/// detect poison requests, which are not sent again.
 class crash_tracker
 {
 public:
   using fingerprint = std::uint64_t;
 
-  /// A server was lost while it ran the request; aCount of them.
+  /// Records that aCount servers crashed while they ran the request.
   void OnCrash(instant aNow, fingerprint aRequest, std::uint32_t aCount = 1);
 
-  /// The request was answered whole.
+  /// Clears the request's crash count after a complete answer.
   void OnAnswer(fingerprint aRequest) { mCrashes.erase(aRequest); }
 
-  /// True when the request has cost too many servers to be sent again.
+  /// True when the request has crashed too many servers to be sent again.
   [[nodiscard]] bool IsPoison(instant aNow, fingerprint aRequest) const;
 
-  /// Forgets what lies too far back to matter.
+  /// Removes expired counts.
   void Prune(instant aNow);
 
 private:
--- a/Libraries/LibDispatch/DispatchConfig.h
+++ b/Libraries/LibDispatch/DispatchConfig.h
@@ -15,7 +15,8 @@
 
 namespace lycheeseam {
 
-/// One whole configuration, indexed for lookups. Immutable once built.
+/// A complete configuration, indexed for lookups. Immutable, so the control
+/// thread and the traffic thread share it without locks.
 class dispatch_config
 {
 public:
@@ -25,18 +26,18 @@
                   std::vector<dispatch_workspace> aWorkspaces,
                   caller_limits aLimits);
 
-  /// The route with the longest prefix that begins the path, or null.
+  /// The host's route with the longest prefix of the path, or null.
   [[nodiscard]] dispatch_route const* FindRoute(std::string_view aHost,
                                                 std::string_view aPath) const;
 
-  /// The workspace that holds a key, or null.
+  /// The workspace that an API key belongs to, or null.
   [[nodiscard]] dispatch_workspace const* FindWorkspace(
     std::string_view aKey) const;
 
   /// A pool by its name, or null.
   [[nodiscard]] dispatch_pool const* FindPool(pool_name const& aName) const;
 
-  /// The first store of KV cache, or null.
+  /// The first KV cache store, or null.
   [[nodiscard]] dispatch_pool const* CacheStore() const;
 
   [[nodiscard]] std::uint64_t Version() const noexcept { return mVersion; }
@@ -56,7 +57,7 @@
     std::map<std::string, std::vector<dispatch_route>, std::less<>>;
 
   std::uint64_t mVersion;
-  /// By host; the longest prefix first.
+  /// By host, sorted by descending length of the path prefix.
   routes_by_host mRoutes;
   std::vector<dispatch_pool> mPools;
   std::vector<dispatch_workspace> mWorkspaces;
--- a/Libraries/LibDispatch/DispatchPool.h
+++ b/Libraries/LibDispatch/DispatchPool.h
@@ -9,15 +9,16 @@
 
 namespace lycheeseam {
 
-/// A pool of backend servers, or a store of KV cache.
+/// A pool of backend servers, or a KV cache store.
 struct dispatch_pool
 {
   pool_name mName;
-  /// Connections that one server accepts from all callers together.
+  /// Connections that one server accepts in total.
   std::uint32_t mMaxConnections = 0;
   /// Set for pools of model engines.
   std::optional<engine_parameters> mEngine;
-  /// Set for a store of KV cache, which no route leads to.
+  /// Address of the KV cache store; unset for pools of backend servers. No
+  /// route uses a KV cache store as its pool.
   std::optional<endpoint> mCacheStore;
 };
 
--- a/Libraries/LibDispatch/DispatchRoute.h
+++ b/Libraries/LibDispatch/DispatchRoute.h
@@ -11,7 +11,7 @@
 
 namespace lycheeseam {
 
-/// Where the requests of one host and path prefix go, and how.
+/// The pools and the rules for the requests of one host and path prefix.
 struct dispatch_route
 {
   route_name mName;
@@ -20,19 +20,19 @@
   std::string mPathPrefix;
   request_kind mKind = request_kind::NonIdempotent;
   std::vector<route_share> mShares;
-  /// The longest that a caller may be kept waiting.
+  /// The longest time that a caller may wait for its answer.
   duration mTimeout{};
-  /// An answer within this time has its full worth.
+  /// The time within which an answer has its full value.
   duration mTargetLatency{};
   /// 0 is the most urgent.
   std::uint32_t mPriority = 0;
-  /// How many servers may run one request of a caller.
+  /// The most servers that may run one request of a caller.
   std::uint32_t mMaxAttempts = 1;
   bool mIsPublic = false;
   bool mIsResumable = false;
 
-  /// True when a request may be sent again after it may have run.
-  [[nodiscard]] bool MayRepeat() const noexcept
+  /// True when a request may be retried although an attempt may have run.
+  [[nodiscard]] bool MayRetry() const noexcept
   {
     return mKind == request_kind::Idempotent ||
            (mKind == request_kind::Stream && mIsResumable);
--- a/Libraries/LibDispatch/DispatchWorkspace.h
+++ b/Libraries/LibDispatch/DispatchWorkspace.h
@@ -10,19 +10,21 @@
 
 namespace lycheeseam {
 
-/// One workspace with its keys and its limits over all instances.
+/// A workspace's API keys and its limits, which hold for all instances
+/// together.
 struct dispatch_workspace
 {
   workspace_id mName;
   std::vector<std::string> mKeys;
   std::optional<std::uint32_t> mPriority;
   quota_unit mUnit = quota_unit::Requests;
-  /// What a request without token counts is charged, in tokens.
+  /// Charge of a request that states no token counts, in tokens.
   token_count mPlainTokens = 0;
-  /// Units a second; 0 is no limit.
+  /// Units per second; 0 means unlimited.
   double mRate = 0;
+  /// Units that a quota window may hold on top of the rate.
   double mBurst = 0;
-  /// True when no cached prompt may be shared with other workspaces.
+  /// True when the workspace shares no cached prompts with other workspaces.
   bool mIsIsolated = false;
 };
 
--- a/Libraries/LibDispatch/EngineParameters.h
+++ b/Libraries/LibDispatch/EngineParameters.h
@@ -7,12 +7,12 @@
 
 namespace lycheeseam {
 
-/// What a pool's model engines have in common.
+/// Parameters that all model engines of a pool share.
 struct engine_parameters
 {
-  /// Requests that run at once on one engine.
+  /// Requests that one engine runs concurrently.
   std::uint32_t mSlots = 0;
-  /// Tokens that an engine's memory holds.
+  /// Tokens that fit in one engine's KV cache.
   token_count mMemoryTokens = 0;
   std::vector<model_name> mModels;
 };
--- a/Libraries/LibDispatch/FindServer.h
+++ b/Libraries/LibDispatch/FindServer.h
@@ -6,7 +6,7 @@
 
 namespace lycheeseam {
 
-/// A server by its id, or null.
+/// Returns the server with an id, or null.
 registered_server const*
 FindServer(std::span<registered_server const> aServers,
            backend_server_id const& aId);
--- a/Libraries/LibDispatch/FleetView.h
+++ b/Libraries/LibDispatch/FleetView.h
@@ -1,8 +1,8 @@
 #pragma once
 
 #include <LibCore/Instant.h>
-#include <LibDispatch/CallerEntry.h>
 #include <LibDispatch/DispatchConfig.h>
+#include <LibDispatch/ReadyInstance.h>
 #include <LibDispatch/RegisteredServer.h>
 #include <LibDispatch/TargetWeights.h>
 #include <LibDispatch/WorkspaceUsage.h>
@@ -14,36 +14,38 @@
 
 namespace lycheeseam {
 
-/// What an instance knows of the fleet: published by the control thread,
-/// read by the traffic thread for every decision.
+/// An instance's view of the fleet. The control thread publishes immutable
+/// copies; the traffic thread reads the newest one for every decision.
 struct fleet_view
 {
   /// Null until the first configuration is read.
   std::shared_ptr<dispatch_config const> mConfig;
   std::vector<registered_server> mServers;
-  /// Servers that are about to load weights and take no new work.
+  /// Servers that a rolling update loads weights on; they get no new requests.
   std::set<backend_server_id> mUpdating;
+  /// The target weights of each model.
   std::vector<target_weights> mWeights;
-  std::vector<caller_entry> mEntries;
+  /// The instances that are ready for callers.
+  std::vector<ready_instance> mReadyInstances;
   /// Instances that share limits, this one included; at least 1.
   std::uint32_t mInstances = 1;
-  /// Of these, the others that haven't reported lately.
+  /// The unresponsive ones of these: other instances without a recent report.
   std::uint32_t mUnresponsiveInstances = 0;
-  /// How old what is told of the other instances may be.
+  /// How old the reports on the other instances may be.
   duration mReportDelay{};
-  /// What the other instances admitted since they started, added up.
-  std::vector<workspace_usage> mSpentElsewhere;
-  /// What all instances admitted in the quota window that ended with the last
-  /// report of one that has counted for so long.
-  std::vector<workspace_usage> mUsedElsewhere;
+  /// Usage of the other instances since they started, summed by workspace.
+  std::vector<workspace_usage> mPeerUsage;
+  /// Usage of all instances in the quota window that ended when an instance
+  /// that has counted for a full window last reported.
+  std::vector<workspace_usage> mWindowUsage;
 
-  /// The weights that were named for a model, or null.
+  /// The target weights of a model, or null.
   [[nodiscard]] target_weights const* FindWeights(
     model_name const& aModel) const
   {
-    for (target_weights const& named : mWeights) {
-      if (named.mModel == aModel)
-        return &named;
+    for (target_weights const& target : mWeights) {
+      if (target.mModel == aModel)
+        return &target;
     }
     return nullptr;
   }
--- a/Libraries/LibDispatch/LoadedModel.h
+++ b/Libraries/LibDispatch/LoadedModel.h
@@ -6,8 +6,8 @@
 
 namespace lycheeseam {
 
-/// A model on an engine, with the version of its weights; versions are whole
-/// numbers that grow.
+/// A model on an engine and the version of its weights, a number that increases
+/// with each release.
 struct loaded_model
 {
   model_name mModel;
--- a/Libraries/LibDispatch/ObservedWeights.h
+++ b/Libraries/LibDispatch/ObservedWeights.h
@@ -6,7 +6,8 @@
 
 namespace lycheeseam {
 
-/// The weights that an answer or a state report of an engine showed.
+/// The version of a model's weights that an answer or a state report of an
+/// engine carried.
 struct observed_weights
 {
   backend_server_id mServer;
--- a/Libraries/LibDispatch/PrefixHolder.h
+++ b/Libraries/LibDispatch/PrefixHolder.h
@@ -6,13 +6,13 @@
 
 namespace lycheeseam {
 
-/// A server that read a shared prompt part.
+/// A server that has processed a shared part of prompts and likely caches it.
 struct prefix_holder
 {
-  /// Of the part within its cache scope.
+  /// Hash of the part and its cache scope.
   std::uint64_t mKey = 0;
   backend_server_id mServer;
-  /// The server also handed the part to the store of KV cache.
+  /// True when the server also copied the part to the KV cache store.
   bool mIsStored = false;
 
   bool operator==(prefix_holder const&) const = default;
--- a/Libraries/LibDispatch/PrefixIndex.cpp
+++ b/Libraries/LibDispatch/PrefixIndex.cpp
@@ -6,13 +6,13 @@
 
 namespace {
 
-// Within this time a busy engine's memory, which holds some ten prompts, has
-// hardly turned over.
+// A busy engine's cache holds about ten prompts and evicts few of them within
+// this time.
 constexpr duration kCacheLifetime = std::chrono::seconds{ 3 };
 
-// A part is handed to the store anew well before the store, which drops the
-// least recently used, would have lost it.
-constexpr duration kSaveInterval = std::chrono::seconds{ 20 };
+// A part is copied to the KV cache store again well before the store, which
+// evicts the least recently used parts, is likely to have evicted it.
+constexpr duration kStoreInterval = std::chrono::seconds{ 20 };
 
 }
 
@@ -23,13 +23,13 @@
   found.mServer = aHolder.mServer;
   found.mServedAt = aNow;
   if (aHolder.mIsStored)
-    found.mSavedAt = aNow;
+    found.mStoredAt = aNow;
 }
 
 void
-prefix_index::OnSaved(instant aNow, std::uint64_t aKey)
+prefix_index::OnStored(instant aNow, std::uint64_t aKey)
 {
-  mRecords[aKey].mSavedAt = aNow;
+  mRecords[aKey].mStoredAt = aNow;
 }
 
 std::optional<backend_server_id>
@@ -43,11 +43,11 @@
 }
 
 bool
-prefix_index::IsSaved(instant aNow, std::uint64_t aKey) const
+prefix_index::IsStored(instant aNow, std::uint64_t aKey) const
 {
   auto const found = mRecords.find(aKey);
-  return found != mRecords.end() && found->second.mSavedAt &&
-         aNow - *found->second.mSavedAt < kSaveInterval;
+  return found != mRecords.end() && found->second.mStoredAt &&
+         aNow - *found->second.mStoredAt < kStoreInterval;
 }
 
 void
@@ -56,7 +56,7 @@
   std::erase_if(mRecords, [aNow](auto const& aEntry) {
     record const& known = aEntry.second;
     return aNow - known.mServedAt > kCacheLifetime &&
-           (!known.mSavedAt || aNow - *known.mSavedAt > kSaveInterval);
+           (!known.mStoredAt || aNow - *known.mStoredAt > kStoreInterval);
   });
 }
 
--- a/Libraries/LibDispatch/PrefixIndex.h
+++ b/Libraries/LibDispatch/PrefixIndex.h
@@ -10,27 +10,29 @@
 
 namespace lycheeseam {
 
-/// Where this instance last sent each shared prompt part. A key covers the
-/// part, its workspace's isolation and the weights' version, so an entry never
-/// leads across any of them.
+/// Records which server last processed each shared part of prompts, and whether
+/// the KV cache store has it. A key covers the part, the cache scope of its
+/// workspace and the version of the weights, so that an entry never matches
+/// across these.
 class prefix_index
 {
 public:
-  /// A request with the part was answered by a server.
+  /// Records that a server answered a request with the part.
   void OnServed(instant aNow, prefix_holder const& aHolder);
 
-  /// The part was handed to the store of KV cache.
-  void OnSaved(instant aNow, std::uint64_t aKey);
+  /// Records that a copy of the part was sent to the KV cache store.
+  void OnStored(instant aNow, std::uint64_t aKey);
 
-  /// The server that had the part last, while it likely has it still.
+  /// The server that last processed the part, as long as it likely caches it.
   [[nodiscard]] std::optional<backend_server_id> Holder(
     instant aNow,
     std::uint64_t aKey) const;
 
-  /// True when the store got the part lately.
-  [[nodiscard]] bool IsSaved(instant aNow, std::uint64_t aKey) const;
+  /// True when the KV cache store received the part recently enough to still
+  /// have it.
+  [[nodiscard]] bool IsStored(instant aNow, std::uint64_t aKey) const;
 
-  /// Forgets parts that are likely evicted by now.
+  /// Removes parts that are likely evicted by now.
   void Prune(instant aNow);
 
 private:
@@ -38,7 +40,7 @@
   {
     backend_server_id mServer;
     instant mServedAt{};
-    std::optional<instant> mSavedAt;
+    std::optional<instant> mStoredAt;
   };
 
   std::unordered_map<std::uint64_t, record> mRecords;
--- a/Libraries/LibDispatch/PromptPart.h
+++ b/Libraries/LibDispatch/PromptPart.h
@@ -6,8 +6,8 @@
 
 namespace lycheeseam {
 
-/// One part of a prompt. Requests share parts; the last one is a request's
-/// own, or its session's.
+/// One part of a prompt. Requests may share parts, except for the last one,
+/// which belongs to a single request or session.
 struct prompt_part
 {
   std::string mId;
--- a/Libraries/LibDispatch/QuotaLimiter.cpp
+++ b/Libraries/LibDispatch/QuotaLimiter.cpp
@@ -10,36 +10,39 @@
 {
   return mAccounts
     .try_emplace(aWorkspace,
-                 account{ .mWindow = quota_window{ mTerms.mWindow } })
+                 account{ .mWindow = quota_window{ mParameters.mWindow } })
     .first->second;
 }
 
 quota_limiter::account&
-quota_limiter::FindFilled(instant aNow, dispatch_workspace const& aWorkspace)
+quota_limiter::FindInitialized(instant aNow,
+                               dispatch_workspace const& aWorkspace)
 {
   account& found = Find(aWorkspace.mName);
   if (!mStartedAt)
     mStartedAt = aNow;
-  if (!found.mIsFilled && aNow - *mStartedAt < mTerms.mWindow) {
-    found.mWindow.Spread(aNow, Limit(aWorkspace));
+  if (!found.mIsInitialized && aNow - *mStartedAt < mParameters.mWindow) {
+    found.mWindow.AddEvenly(aNow, Limit(aWorkspace));
     found.mIsAssumed = true;
   }
-  found.mIsFilled = true;
+  found.mIsInitialized = true;
   return found;
 }
 
 void
-quota_limiter::TakeUsed(instant aNow, std::vector<workspace_usage> const& aUsed)
+quota_limiter::ApplyWindowUsage(instant aNow,
+                                std::vector<workspace_usage> const& aUsage)
 {
-  if (aUsed.empty() || !mStartedAt || aNow - *mStartedAt >= mTerms.mWindow)
+  if (aUsage.empty() || !mStartedAt ||
+      aNow - *mStartedAt >= mParameters.mWindow)
     return;
-  for (workspace_usage const& used : aUsed) {
-    account& found = Find(used.mWorkspace);
-    if (found.mIsFilled && !found.mIsAssumed)
+  for (workspace_usage const& usage : aUsage) {
+    account& found = Find(usage.mWorkspace);
+    if (found.mIsInitialized && !found.mIsAssumed)
       continue;
-    found.mWindow = quota_window{ mTerms.mWindow };
-    found.mWindow.Spread(aNow, used.mUnits);
-    found.mIsFilled = true;
+    found.mWindow = quota_window{ mParameters.mWindow };
+    found.mWindow.AddEvenly(aNow, usage.mUnits);
+    found.mIsInitialized = true;
     found.mIsAssumed = false;
   }
 }
@@ -49,28 +52,30 @@
 {
   if (!mStartedAt && aView.mConfig)
     mStartedAt = aNow;
-  TakeUsed(aNow, aView.mUsedElsewhere);
+  ApplyWindowUsage(aNow, aView.mWindowUsage);
   mReportDelay = aView.mReportDelay;
-  mOpenShare =
+  mAvailableShare =
     static_cast<double>(aView.mInstances - aView.mUnresponsiveInstances) /
     aView.mInstances;
-  for (workspace_usage const& spent : aView.mSpentElsewhere) {
-    account& found = Find(spent.mWorkspace);
-    // The sum falls when an instance leaves it; that gives nothing back.
-    found.mWindow.Add(aNow, std::max(0.0, spent.mUnits - found.mSeenElsewhere));
-    found.mSeenElsewhere = spent.mUnits;
-    found.mLatelyAsked.Add(
-      aNow, std::max(0.0, spent.mDemand - found.mAskedElsewhere));
-    found.mAskedElsewhere = spent.mDemand;
+  for (workspace_usage const& usage : aView.mPeerUsage) {
+    account& found = Find(usage.mWorkspace);
+    // The sum falls when an instance is removed from it, which refunds nothing.
+    found.mWindow.Add(aNow, std::max(0.0, usage.mUnits - found.mPeerUsage));
+    found.mPeerUsage = usage.mUnits;
+    found.mRecentDemand.Add(aNow,
+                            std::max(0.0, usage.mDemand - found.mPeerDemand));
+    found.mPeerDemand = usage.mDemand;
   }
 }
 
 double
 quota_limiter::Limit(dispatch_workspace const& aWorkspace) const
 {
-  double const seconds = std::chrono::duration<double>(mTerms.mWindow).count();
+  double const seconds =
+    std::chrono::duration<double>(mParameters.mWindow).count();
   double const within = aWorkspace.mRate * seconds + aWorkspace.mBurst;
-  return (within * (1 + mTerms.mOvershoot) + mTerms.mSlackUnits) * mOpenShare;
+  return (within * (1 + mParameters.mOvershoot) + mParameters.mSlackUnits) *
+         mAvailableShare;
 }
 
 double
@@ -84,26 +89,27 @@
                          dispatch_workspace const& aWorkspace,
                          double aUnits)
 {
-  account& found = FindFilled(aNow, aWorkspace);
-  found.mAsked += aUnits;
-  found.mLatelyAsked.Add(aNow, aUnits);
+  account& found = FindInitialized(aNow, aWorkspace);
+  found.mDemand += aUnits;
+  found.mRecentDemand.Add(aNow, aUnits);
   bool const isLimited = aWorkspace.mRate > 0;
-  double const room = Limit(aWorkspace) - found.mWindow.Sum(aNow);
-  if (isLimited && (aUnits > room || !IsDrawn(aNow, found, room)))
+  double const headroom = Limit(aWorkspace) - found.mWindow.Sum(aNow);
+  if (isLimited && (aUnits > headroom || !IsSampled(aNow, found, headroom)))
     return false;
   found.mWindow.Add(aNow, aUnits);
-  found.mSpent += aUnits;
+  found.mUsage += aUnits;
   return true;
 }
 
 bool
-quota_limiter::IsDrawn(instant aNow, account& aAccount, double aRoom)
+quota_limiter::IsSampled(instant aNow, account& aAccount, double aHeadroom)
 {
-  double const reports =
-    std::chrono::duration<double>(mReportDelay) / kPaceTime;
-  double const unseen = aAccount.mLatelyAsked.Sum(aNow) * reports;
-  return unseen <= aRoom ||
-         std::uniform_real_distribution<double>{}(mRandom)*unseen < aRoom;
+  double const delayRatio =
+    std::chrono::duration<double>(mReportDelay) / kDemandTime;
+  // Units requested from all instances since their latest reports.
+  double const unreported = aAccount.mRecentDemand.Sum(aNow) * delayRatio;
+  return unreported <= aHeadroom || std::uniform_real_distribution<double>{}(
+                                      mRandom)*unreported < aHeadroom;
 }
 
 void
@@ -113,7 +119,7 @@
 {
   account& found = Find(aWorkspace);
   found.mWindow.Add(aNow, -aUnits);
-  found.mSpent -= aUnits;
+  found.mUsage -= aUnits;
 }
 
 duration
@@ -127,25 +133,25 @@
 }
 
 std::vector<workspace_usage>
-quota_limiter::UsedByAll(instant aNow)
+quota_limiter::WindowUsage(instant aNow)
 {
-  std::vector<workspace_usage> used;
-  if (!mStartedAt || aNow - *mStartedAt < mTerms.mWindow)
-    return used;
+  std::vector<workspace_usage> usage;
+  if (!mStartedAt || aNow - *mStartedAt < mParameters.mWindow)
+    return usage;
   for (accounts::value_type& entry : mAccounts)
-    used.push_back(
+    usage.push_back(
       { .mWorkspace = entry.first, .mUnits = entry.second.mWindow.Sum(aNow) });
-  return used;
+  return usage;
 }
 
 std::vector<workspace_usage>
-quota_limiter::Spent() const
+quota_limiter::Usage() const
 {
-  std::vector<workspace_usage> spent;
+  std::vector<workspace_usage> usage;
   for (auto const& [name, found] : mAccounts)
-    spent.push_back(
-      { .mWorkspace = name, .mUnits = found.mSpent, .mDemand = found.mAsked });
-  return spent;
+    usage.push_back(
+      { .mWorkspace = name, .mUnits = found.mUsage, .mDemand = found.mDemand });
+  return usage;
 }
 
 }
--- a/Libraries/LibDispatch/QuotaLimiter.h
+++ b/Libraries/LibDispatch/QuotaLimiter.h
@@ -13,87 +13,93 @@
 
 namespace lycheeseam {
 
-/// Keeps workspaces to their rate and burst over all instances.
+/// Enforces each workspace's rate and burst over all instances together.
 ///
-/// Each instance counts its own admissions at once and those of the others
-/// when they report. The share of an instance that has fallen silent is taken
-/// as spent, so instances that can't see each other don't admit it twice. A
-/// starting instance doesn't know what was admitted before, and takes the
-/// limit as used up evenly, which leaves more than the rate but no burst,
-/// until an instance that has counted for a whole window tells.
+/// Each instance counts its own admissions at once and those of the others as
+/// they report them. The share of an unresponsive instance counts as used, so
+/// that instances on both sides of a partition don't admit it twice. A starting
+/// instance doesn't know the earlier usage: until an instance that has counted
+/// for a full window reports, it assumes that the limit was used up evenly over
+/// the window, which admits more than the rate but no burst.
 ///
-/// What others admitted is known late. While all instances together are asked
-/// for more in that time than a window still holds, each admits only such a
-/// part of what it is asked for, by chance, that together they fill it.
+/// Reports of other instances are delayed. While the demand on all instances
+/// during this delay exceeds what the window has left, each instance admits a
+/// random sample of its requests, so that together they just fill the window.
 class quota_limiter
 {
 public:
-  explicit quota_limiter(quota_parameters aTerms)
-    : mTerms(aTerms)
-    , mRandom(aTerms.mSeed)
+  explicit quota_limiter(quota_parameters aParameters)
+    : mParameters(aParameters)
+    , mRandom(aParameters.mSeed)
   {
   }
 
-  /// Takes over silent instances and reports of the others.
+  /// Updates the unresponsive instances and the usage of the others.
   void Apply(instant aNow, fleet_view const& aView);
 
-  /// Charges a request when its workspace's rate allows it.
+  /// Charges a request to its workspace; false when that would exceed the
+  /// limit.
   [[nodiscard]] bool TryCharge(instant aNow,
                                dispatch_workspace const& aWorkspace,
                                double aUnits);
 
-  /// Gives back the charge of a request that didn't run.
+  /// Refunds the charge of a request that didn't run.
   void Refund(instant aNow, workspace_id const& aWorkspace, double aUnits);
 
-  /// How long until a request of this size would be admitted.
+  /// How long until the limit admits a request of aUnits.
   [[nodiscard]] duration WaitFor(instant aNow,
                                  dispatch_workspace const& aWorkspace,
                                  double aUnits);
 
-  /// What was admitted in the window that ends now, over all instances.
+  /// Units that all instances admitted in the window that ends now.
   [[nodiscard]] double Used(instant aNow, workspace_id const& aWorkspace);
 
-  /// The most that a window may hold, less the share of silent instances.
+  /// The units that a window may hold, less the share of unresponsive
+  /// instances.
   [[nodiscard]] double Limit(dispatch_workspace const& aWorkspace) const;
 
-  /// What all instances admitted in the window that ends now; empty until this
-  /// one has counted for a whole window.
-  [[nodiscard]] std::vector<workspace_usage> UsedByAll(instant aNow);
+  /// Usage of all instances in the window that ends now; empty until this
+  /// instance has counted for a full window.
+  [[nodiscard]] std::vector<workspace_usage> WindowUsage(instant aNow);
 
-  /// What this instance admitted since its start.
-  [[nodiscard]] std::vector<workspace_usage> Spent() const;
+  /// Usage and demand on this instance since its start.
+  [[nodiscard]] std::vector<workspace_usage> Usage() const;
 
 private:
-  // Over this span it is measured how much is asked for.
-  static constexpr std::chrono::seconds kPaceTime{ 1 };
+  // The demand is measured over this time.
+  static constexpr std::chrono::seconds kDemandTime{ 1 };
 
   struct account
   {
     quota_window mWindow;
-    quota_window mLatelyAsked{ kPaceTime };
-    /// By this instance, since its start.
-    double mSpent = 0;
-    double mAsked = 0;
-    double mSeenElsewhere = 0;
-    double mAskedElsewhere = 0;
-    bool mIsFilled = false;
-    /// The window holds the limit rather than what was admitted.
+    quota_window mRecentDemand{ kDemandTime };
+    /// Admitted by this instance since its start, in units.
+    double mUsage = 0;
+    double mDemand = 0;
+    double mPeerUsage = 0;
+    double mPeerDemand = 0;
+    bool mIsInitialized = false;
+    /// True when the window holds the assumed limit rather than known usage.
     bool mIsAssumed = false;
   };
 
   using accounts = std::map<workspace_id, account>;
 
   account& Find(workspace_id const& aWorkspace);
-  void TakeUsed(instant aNow, std::vector<workspace_usage> const& aUsed);
-  [[nodiscard]] bool IsDrawn(instant aNow, account& aAccount, double aRoom);
-  account& FindFilled(instant aNow, dispatch_workspace const& aWorkspace);
-
-  quota_parameters mTerms;
+  void ApplyWindowUsage(instant aNow,
+                        std::vector<workspace_usage> const& aUsage);
+  [[nodiscard]] bool IsSampled(instant aNow,
+                               account& aAccount,
+                               double aHeadroom);
+  account& FindInitialized(instant aNow, dispatch_workspace const& aWorkspace);
+
+  quota_parameters mParameters;
   accounts mAccounts;
-  /// When the limiter was first used.
+  /// When this instance began to count.
   std::optional<instant> mStartedAt;
-  /// The part of rates and bursts that silent instances don't hold.
-  double mOpenShare = 1.0;
+  /// The part of the limits that isn't set aside for unresponsive instances,
+  /// from 0 to 1.
+  double mAvailableShare = 1.0;
   duration mReportDelay{};
   std::minstd_rand mRandom;
 };
--- a/Libraries/LibDispatch/QuotaParameters.h
+++ b/Libraries/LibDispatch/QuotaParameters.h
@@ -7,16 +7,17 @@
 
 namespace lycheeseam {
 
-/// What counts as within a workspace's rate and burst.
+/// Parameters that decide what is within a workspace's rate and burst.
 struct quota_parameters
 {
-  /// Any span of this length is held against the limit.
+  /// Length of the sliding window that the limit applies to.
   duration mWindow = std::chrono::seconds{ 8 };
-  /// The part of rate and burst that a window may hold beyond them.
+  /// How far a window may exceed rate and burst, as a part of these.
   double mOvershoot = 0;
-  /// Units that a window may hold besides.
+  /// Units that a window may hold in addition.
   double mSlackUnits = 0;
-  /// Of the draws near the limit; instances with one seed would all draw alike.
+  /// Seeds the random sampling near the limit. Each instance needs its own
+  /// seed, otherwise all make the same decisions.
   std::uint32_t mSeed = 1;
 };
 
--- a/Libraries/LibDispatch/QuotaUnit.h
+++ b/Libraries/LibDispatch/QuotaUnit.h
@@ -2,7 +2,7 @@
 
 namespace lycheeseam {
 
-/// What a workspace's rate and burst are counted in.
+/// The unit of a workspace's rate and burst.
 enum class quota_unit
 {
   Requests,
--- a/Libraries/LibDispatch/QuotaWindow.cpp
+++ b/Libraries/LibDispatch/QuotaWindow.cpp
@@ -5,40 +5,40 @@
 namespace lycheeseam {
 
 void
-quota_window::MoveTo(instant aNow)
+quota_window::AdvanceTo(instant aNow)
 {
-  std::int64_t const slot = aNow.time_since_epoch() / mSlotTime;
+  std::int64_t const bucket = aNow.time_since_epoch() / mBucketTime;
   std::int64_t const size = static_cast<std::int64_t>(mUnits.size());
-  std::int64_t const steps = std::min(slot - mNewest, size);
+  std::int64_t const steps = std::min(bucket - mNewest, size);
   for (std::int64_t step = 0; step < steps; ++step) {
     double& oldest = mUnits[(mNewest + 1 + step) % size];
     mSum -= oldest;
     oldest = 0;
   }
-  mNewest = std::max(mNewest, slot);
+  mNewest = std::max(mNewest, bucket);
 }
 
 void
 quota_window::Add(instant aNow, double aUnits)
 {
-  MoveTo(aNow);
+  AdvanceTo(aNow);
   mUnits[mNewest % static_cast<std::int64_t>(mUnits.size())] += aUnits;
   mSum += aUnits;
 }
 
 void
-quota_window::Spread(instant aNow, double aUnits)
+quota_window::AddEvenly(instant aNow, double aUnits)
 {
-  MoveTo(aNow);
-  for (double& slot : mUnits)
-    slot += aUnits / static_cast<double>(mUnits.size());
+  AdvanceTo(aNow);
+  for (double& bucket : mUnits)
+    bucket += aUnits / static_cast<double>(mUnits.size());
   mSum += aUnits;
 }
 
 double
 quota_window::Sum(instant aNow)
 {
-  MoveTo(aNow);
+  AdvanceTo(aNow);
   return mSum;
 }
 
@@ -50,7 +50,7 @@
   double freed = 0;
   for (std::int64_t step = 1; step <= size && freed < aUnits; ++step) {
     freed += mUnits[(mNewest + step) % size];
-    wait += mSlotTime;
+    wait += mBucketTime;
   }
   return wait;
 }
--- a/Libraries/LibDispatch/QuotaWindow.h
+++ b/Libraries/LibDispatch/QuotaWindow.h
@@ -7,36 +7,37 @@
 
 namespace lycheeseam {
 
-/// Units that were admitted within the last window of time, counted in slots;
-/// never counts less than the exact window would.
+/// Counts the units admitted within a sliding window, in time buckets. The sum
+/// is never less than that of the exact window.
 class quota_window
 {
 public:
   explicit quota_window(duration aWindow)
-    : mSlotTime(aWindow / kSlots)
+    : mBucketTime(aWindow / kBuckets)
   {
   }
 
-  /// Adds units at an instant, which never goes back.
+  /// Adds units at an instant; instants must not decrease.
   void Add(instant aNow, double aUnits);
 
-  /// Takes units as admitted evenly over the window that ends now.
-  void Spread(instant aNow, double aUnits);
+  /// Adds units evenly over the window that ends now.
+  void AddEvenly(instant aNow, double aUnits);
 
-  /// The units of the window that ends now.
+  /// The units admitted in the window that ends now.
   [[nodiscard]] double Sum(instant aNow);
 
-  /// How long until so many units have left the window.
+  /// How long until aUnits have left the window.
   [[nodiscard]] duration WaitFor(double aUnits) const;
 
 private:
-  static constexpr std::size_t kSlots = 32;
+  static constexpr std::size_t kBuckets = 32;
 
-  void MoveTo(instant aNow);
+  void AdvanceTo(instant aNow);
 
-  duration mSlotTime;
-  /// One slot more than the window, since the oldest is only partly over.
-  std::array<double, kSlots + 1> mUnits{};
+  duration mBucketTime;
+  /// One bucket more than the window has, since the oldest one is still partly
+  /// within the window.
+  std::array<double, kBuckets + 1> mUnits{};
   std::int64_t mNewest = 0;
   double mSum = 0;
 };
--- a/Libraries/LibDispatch/CallerEntry.h
+++ b/Libraries/LibDispatch/ReadyInstance.h
@@ -5,14 +5,14 @@
 
 namespace lycheeseam {
 
-/// An instance that takes callers.
-struct caller_entry
+/// An instance that is ready for callers, with the address that callers use.
+struct ready_instance
 {
   instance_id mInstance;
   failure_domain mDomain;
   endpoint mAddress;
 
-  bool operator==(caller_entry const&) const = default;
+  bool operator==(ready_instance const&) const = default;
 };
 
 }
--- a/Libraries/LibDispatch/RegisteredServer.h
+++ b/Libraries/LibDispatch/RegisteredServer.h
@@ -14,19 +14,21 @@
 struct registered_server
 {
   backend_server_id mId;
-  /// When it started, in Unix milliseconds: a restart under the same id
-  /// knows nothing of before.
+  /// Its start time in Unix milliseconds. A restart under the same id begins a
+  /// new incarnation, which has kept no state.
   incarnation mIncarnation;
   pool_name mPool;
   endpoint mAddress;
   failure_domain mDomain;
+  /// Requests that it runs concurrently.
   std::uint32_t mSlots = 1;
   server_stage mStage = server_stage::Ready;
   std::vector<loaded_model> mModels;
 
   bool operator==(registered_server const&) const = default;
 
-  /// Takes a version that is newer than the one known; true when it was.
+  /// Records a model's version if it is newer than the recorded one; true when
+  /// it was.
   bool RaiseVersion(model_name const& aModel, std::uint64_t aVersion)
   {
     for (loaded_model& model : mModels) {
@@ -38,15 +40,16 @@
     return false;
   }
 
-  /// Keeps what is known of the same incarnation where it is newer: versions
-  /// only grow within an incarnation.
+  /// Merges the versions of an earlier entry of the same incarnation: within an
+  /// incarnation a model's version only grows, so the newer one is kept.
   void KeepNewerVersions(registered_server const& aKnown)
   {
     for (loaded_model const& model : aKnown.mModels)
       RaiseVersion(model.mModel, model.mVersion);
   }
 
-  /// The version of a model's weights; 0 when it has none.
+  /// The version of a model's weights; 0 when the server doesn't list the
+  /// model.
   [[nodiscard]] std::uint64_t VersionOf(model_name const& aModel) const
   {
     for (loaded_model const& model : mModels) {
--- a/Libraries/LibDispatch/ReportedLoad.h
+++ b/Libraries/LibDispatch/ReportedLoad.h
@@ -6,14 +6,14 @@
 
 namespace lycheeseam {
 
-/// The load that a backend server told with an answer.
+/// The load that a backend server reported with an answer.
 struct reported_load
 {
   std::uint32_t mRunning = 0;
   std::uint32_t mWaiting = 0;
   std::uint32_t mSlots = 0;
-  /// When the answer came.
-  instant mToldAt{};
+  /// When the answer arrived.
+  instant mReportedAt{};
 };
 
 }
--- a/Libraries/LibDispatch/RequestProperties.h
+++ b/Libraries/LibDispatch/RequestProperties.h
@@ -11,27 +11,27 @@
 
 namespace lycheeseam {
 
-/// What decisions need to know of a caller's request; read from its head by
-/// the front end that took it.
+/// The properties of a caller's request that decisions depend on. The front end
+/// reads them from the request's head.
 struct request_properties
 {
   request_id mId;
   std::string mHost;
   std::string mPath;
-  /// The caller's key; never passed on.
+  /// The caller's API key; never sent to backend servers.
   std::optional<std::string> mKey;
-  /// How long the caller waits, from the request's arrival.
-  std::optional<duration> mPatience;
+  /// How long the caller waits, counted from the request's arrival.
+  std::optional<duration> mMaxWait;
   /// Empty for plain services.
   model_name mModel;
-  /// Nothing when the request doesn't tell its size.
+  /// Nothing when the request doesn't state its size.
   std::optional<token_count> mPromptTokens;
   token_count mMaxOutputTokens = 0;
   std::vector<prompt_part> mParts;
-  /// The last event that the caller has of an earlier stream.
+  /// Id of the last event that the caller received of a stream to be resumed.
   std::optional<std::uint64_t> mLastEvent;
 
-  /// The tokens of all parts that other requests share.
+  /// Tokens of the parts that other requests may share.
   [[nodiscard]] token_count SharedTokens() const
   {
     token_count tokens = 0;
@@ -40,7 +40,7 @@
     return tokens;
   }
 
-  /// The last part that other requests share; null when there is none.
+  /// The last part that other requests may share; null when there is none.
   [[nodiscard]] prompt_part const* SharedPart() const
   {
     return mParts.size() < 2 ? nullptr : &mParts[mParts.size() - 2];
--- a/Libraries/LibDispatch/RouteShare.h
+++ b/Libraries/LibDispatch/RouteShare.h
@@ -6,7 +6,7 @@
 
 namespace lycheeseam {
 
-/// One pool's part of a route's traffic.
+/// A pool of a route's traffic split, with its weight.
 struct route_share
 {
   pool_name mPool;
--- a/Libraries/LibDispatch/ServerChoiceRequest.h
+++ b/Libraries/LibDispatch/ServerChoiceRequest.h
@@ -10,20 +10,21 @@
 
 namespace lycheeseam {
 
-/// What the choice of a backend server depends on.
+/// The input to the choice of a backend server.
 struct server_choice_request
 {
   instant mNow{};
   failure_domain mDomain;
-  /// Hash of the prompt's shared part; nothing for plain services.
+  /// Hash of the prompt's shared part; nothing for servers that run no model.
   std::optional<std::uint64_t> mPromptKey;
-  /// Empty for plain services.
+  /// Empty for servers that run no model.
   model_name mModel;
-  /// The weights that operators named for the model; null for none.
+  /// The model's target weights; null for none.
   target_weights const* mWeights = nullptr;
-  /// How long after newer weights were named older ones may still be used.
+  /// How long older weights may be used after this instance learned of newer
+  /// target weights.
   duration mOutdatedAfter{ duration::max() };
-  /// Servers that this request was sent to already.
+  /// Servers that the request was already sent to.
   std::vector<backend_server_id> mTried;
 };
 
--- a/Libraries/LibDispatch/ServerStage.h
+++ b/Libraries/LibDispatch/ServerStage.h
@@ -2,11 +2,11 @@
 
 namespace lycheeseam {
 
-/// What a backend server says of itself.
+/// Whether a backend server takes requests, as it registered itself.
 enum class server_stage
 {
   Ready,
-  /// It finishes its work and takes no more.
+  /// It finishes its running requests and takes no new ones.
   Leaving,
 };
 
--- a/Libraries/LibDispatch/ServerTable.h
+++ b/Libraries/LibDispatch/ServerTable.h
@@ -10,19 +10,21 @@
 
 namespace lycheeseam {
 
-/// The backend servers of the newest view, by pool, each with what the
-/// traffic thread learned of its life.
+/// The backend servers of the newest fleet view, by pool, each with the traffic
+/// thread's state of its incarnation.
 class server_table
 {
 public:
-  /// Takes over a view; a server's new life starts with nothing known.
+  /// Updates the servers from a view. State is kept as long as a server's
+  /// incarnation stays the same.
   void Apply(fleet_view const& aView);
 
   /// The servers of a pool.
   [[nodiscard]] std::span<tracked_server* const> Pool(
     pool_name const& aPool) const;
 
-  /// A server by its id, shared with the requests that it runs, or null.
+  /// A server by its id, or null. Requests that run on a server share it, so
+  /// that it outlives its removal from the view.
   [[nodiscard]] std::shared_ptr<tracked_server> Find(
     backend_server_id const& aId) const;
 
--- a/Libraries/LibDispatch/TargetVersion.h
+++ b/Libraries/LibDispatch/TargetVersion.h
@@ -6,7 +6,7 @@
 
 namespace lycheeseam {
 
-/// A version of a model's weights that operators set as a target.
+/// A version of a model's weights that operators set as the target.
 struct target_version
 {
   std::uint64_t mVersion = 0;
--- a/Libraries/LibDispatch/TargetWeights.h
+++ b/Libraries/LibDispatch/TargetWeights.h
@@ -9,27 +9,27 @@
 
 namespace lycheeseam {
 
-/// The target weights that operators set for a model.
+/// The versions of a model's weights that operators set as the target.
 struct target_weights
 {
   model_name mModel;
-  /// In the order of their versions; the last one is the newest.
+  /// In ascending order of the versions.
   std::vector<target_version> mVersions;
 
-  /// The newest version; 0 for none.
+  /// The newest target version; 0 for none.
   [[nodiscard]] std::uint64_t Newest() const
   {
     return mVersions.empty() ? 0 : mVersions.back().mVersion;
   }
 
-  /// Since when a newer version than aVersion is known; nothing when there is
-  /// none.
+  /// When this instance learned of a newer target version than aVersion;
+  /// nothing when there is none.
   [[nodiscard]] std::optional<instant> ReplacedSince(
     std::uint64_t aVersion) const
   {
-    for (target_version const& named : mVersions) {
-      if (named.mVersion > aVersion)
-        return named.mLearnedAt;
+    for (target_version const& target : mVersions) {
+      if (target.mVersion > aVersion)
+        return target.mLearnedAt;
     }
     return std::nullopt;
   }
--- a/Libraries/LibDispatch/TrackedServer.cpp
+++ b/Libraries/LibDispatch/TrackedServer.cpp
@@ -7,21 +7,22 @@
 
 namespace {
 
-// Requests run for about a second; an older report tells of other ones.
+// Requests run for about a second, so an older report counts requests that have
+// ended since.
 constexpr duration kLoadLifetime = std::chrono::seconds{ 1 };
 
-// Of the newest request in the usual size.
-constexpr double kUsualWeight = 0.1;
+// Weight of the newest request in the moving average of request sizes.
+constexpr double kAverageWeight = 0.1;
 
 }
 
 std::uint32_t
 tracked_server::EstimatedRequests(instant aNow) const
 {
-  if (!mLoad || aNow - mLoad->mToldAt > kLoadLifetime)
+  if (!mLoad || aNow - mLoad->mReportedAt > kLoadLifetime)
     return mInFlight;
-  std::uint32_t const told = mLoad->mRunning + mLoad->mWaiting;
-  std::uint32_t const others = told - std::min(told, mInFlightAtLoad);
+  std::uint32_t const reported = mLoad->mRunning + mLoad->mWaiting;
+  std::uint32_t const others = reported - std::min(reported, mInFlightAtLoad);
   return mInFlight + others;
 }
 
@@ -30,7 +31,8 @@
 {
   mInFlight += 1;
   mInFlightTokens += aTokens;
-  mUsualTokens += kUsualWeight * (static_cast<double>(aTokens) - mUsualTokens);
+  mAverageTokens +=
+    kAverageWeight * (static_cast<double>(aTokens) - mAverageTokens);
 }
 
 void
@@ -49,7 +51,7 @@
   if (mMemoryTokens <= 0)
     return slots;
   double const tokens = static_cast<double>(mInFlightTokens) +
-                        (requests - mInFlight) * mUsualTokens;
+                        (requests - mInFlight) * mAverageTokens;
   return std::max(slots, tokens / static_cast<double>(mMemoryTokens));
 }
 
--- a/Libraries/LibDispatch/TrackedServer.h
+++ b/Libraries/LibDispatch/TrackedServer.h
@@ -9,37 +9,39 @@
 
 namespace lycheeseam {
 
-/// What the traffic thread knows of one incarnation of a backend server beyond
-/// its entry: its own requests there and what their answers showed.
+/// The traffic thread's state of one incarnation of a backend server: its
+/// registration, this instance's requests on it and what their answers showed.
 struct tracked_server
 {
   registered_server mRegistered;
-  /// Differs from server to server; ranks servers for a prompt.
+  /// Hash of the server's id, for its rendezvous rank.
   std::uint64_t mSeed = 0;
   circuit_breaker mBreaker;
   bool mIsUpdating = false;
-  /// Tokens that its memory holds; 0 for plain services.
+  /// Tokens that fit in its KV cache; 0 for servers that run no model.
   token_count mMemoryTokens = 0;
-  /// Own requests that haven't ended.
+  /// This instance's requests that haven't ended.
   std::uint32_t mInFlight = 0;
-  /// Their prompts and expected answers, in tokens.
+  /// Tokens of their prompts and expected answers.
   token_count mInFlightTokens = 0;
   std::optional<reported_load> mLoad;
-  /// A usual request's tokens, by the own ones.
-  double mUsualTokens = 0;
-  /// Own requests in flight when the load was told.
+  /// Moving average of the tokens of this instance's requests.
+  double mAverageTokens = 0;
+  /// This instance's requests in flight when mLoad was reported.
   std::uint32_t mInFlightAtLoad = 0;
-  /// An own request of so many tokens is sent to it.
+
+  /// Counts a request of aTokens that this instance sends to the server.
   void OnStart(token_count aTokens);
 
-  /// An own request has ended there.
+  /// Removes a request of aTokens that has ended.
   void OnEnd(token_count aTokens);
 
-  /// Requests that run or wait on it now, as far as is known.
+  /// Requests of all instances that run or wait on the server, as far as this
+  /// instance knows.
   [[nodiscard]] std::uint32_t EstimatedRequests(instant aNow) const;
 
-  /// How full it is: its requests over its slots or their tokens over its
-  /// memory, whichever binds.
+  /// The used part of its capacity: requests per slot or tokens per memory,
+  /// whichever is higher; 1 is full.
   [[nodiscard]] double Pressure(instant aNow) const;
 };
 
--- a/Libraries/LibDispatch/UsageTotals.h
+++ b/Libraries/LibDispatch/UsageTotals.h
@@ -8,14 +8,14 @@
 
 namespace lycheeseam {
 
-/// Adds up what was admitted and asked for, by workspace.
+/// Sums usage and demand by workspace.
 class usage_totals
 {
 public:
   void Add(workspace_usage const& aAdded);
   void Add(std::span<workspace_usage const> aAdded);
 
-  /// Takes back what was added before.
+  /// Subtracts totals that were added before.
   void Subtract(usage_totals const& aTotals);
 
   /// The sums, sorted by workspace.
--- a/Libraries/LibDispatch/WorkspaceUsage.h
+++ b/Libraries/LibDispatch/WorkspaceUsage.h
@@ -4,12 +4,13 @@
 
 namespace lycheeseam {
 
-/// What a workspace's requests were charged, in its unit.
+/// Usage and demand of a workspace, in its quota unit.
 struct workspace_usage
 {
   workspace_id mWorkspace;
+  /// Units that were charged for admitted requests.
   double mUnits = 0;
-  /// What callers asked for, admitted or not.
+  /// Units that callers requested, admitted or not.
   double mDemand = 0;
 
   bool operator==(workspace_usage const&) const = default;
--- a/Libraries/LibFleet/FleetControl.h
+++ b/Libraries/LibFleet/FleetControl.h
@@ -218,19 +218,19 @@
     mView.mServers = mRecords.Servers().Servers();
     mView.mUpdating = mOrders.Turning();
     mView.mUpdating.merge(peers.Turning(now));
-    mView.mEntries = peers.Entries();
+    mView.mReadyInstances = peers.Entries();
     if (IsReady())
-      mView.mEntries.push_back(
+      mView.mReadyInstances.push_back(
         { .mInstance = mOptions.mSelf.mIdentity.mInstance,
           .mDomain = mOptions.mSelf.mFailureDomain,
           .mAddress = mOptions.mSelf.mCallers });
     mView.mInstances = peers.Known().Count() + 1;
     mView.mUnresponsiveInstances = peers.Silent(now);
     mView.mReportDelay = mLinks.Delay();
-    mView.mSpentElsewhere = peers.Spending().Spent();
-    mView.mUsedElsewhere = peers.Used(now);
-    if (mView.mUsedElsewhere.empty() && mView.mConfig)
-      mView.mUsedElsewhere = mUsage.Stored(*mView.mConfig);
+    mView.mPeerUsage = peers.Spending().Spent();
+    mView.mWindowUsage = peers.Used(now);
+    if (mView.mWindowUsage.empty() && mView.mConfig)
+      mView.mWindowUsage = mUsage.Stored(*mView.mConfig);
     mPublished.Publish(std::make_shared<fleet_view const>(mView));
   }
 
--- a/Libraries/LibFleet/FleetMetrics.cpp
+++ b/Libraries/LibFleet/FleetMetrics.cpp
@@ -45,7 +45,7 @@
   set("servers_turning", static_cast<double>(aView.mUpdating.size()));
   set("instances", aView.mInstances);
   set("instances_silent", aView.mUnresponsiveInstances);
-  set("instances_ready", static_cast<double>(aView.mEntries.size()));
+  set("instances_ready", static_cast<double>(aView.mReadyInstances.size()));
   set("order_lease", static_cast<double>(aLease));
 }
 
--- a/Libraries/LibFleet/PeerBook.cpp
+++ b/Libraries/LibFleet/PeerBook.cpp
@@ -121,10 +121,10 @@
   mKnown.Prune(aNow);
 }
 
-std::vector<caller_entry>
+std::vector<ready_instance>
 peer_book::Entries() const
 {
-  std::map<instance_id, caller_entry> entries;
+  std::map<instance_id, ready_instance> entries;
   auto const add = [&](fleet_roster const& aRoster) {
     for (roster_entry const& entry : aRoster.mEntries) {
       instance_id const& id = entry.mHello.mIdentity.mInstance;
@@ -137,7 +137,7 @@
   add(mLostRoster);
   for (auto const& [id, link] : mLinks)
     add(link.mRoster);
-  std::vector<caller_entry> list;
+  std::vector<ready_instance> list;
   std::transform(entries.begin(),
                  entries.end(),
                  std::back_inserter(list),
--- a/Libraries/LibFleet/PeerBook.h
+++ b/Libraries/LibFleet/PeerBook.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include <LibCore/Instant.h>
-#include <LibDispatch/CallerEntry.h>
+#include <LibDispatch/ReadyInstance.h>
 #include <LibDispatch/WorkspaceUsage.h>
 #include <LibFleet/KnownInstances.h>
 #include <LibFleet/PeerLink.h>
@@ -62,7 +62,7 @@
   [[nodiscard]] known_instances const& Known() const noexcept { return mKnown; }
 
   /// The others that take callers and aren't leaving.
-  [[nodiscard]] std::vector<caller_entry> Entries() const;
+  [[nodiscard]] std::vector<ready_instance> Entries() const;
 
   /// How many of the others nobody has heard of lately.
   [[nodiscard]] std::uint32_t Silent(instant aNow) const;
--- a/Libraries/LibGateway/AdmitRequest.cpp
+++ b/Libraries/LibGateway/AdmitRequest.cpp
@@ -80,9 +80,9 @@
         Charge(aCore, aNow, aProperties, aAdmitted))
     return refusal;
   aAdmitted.mDeadline = aNow + aAdmitted.mRoute->mTimeout;
-  if (aProperties.mPatience)
+  if (aProperties.mMaxWait)
     aAdmitted.mDeadline =
-      std::min(aAdmitted.mDeadline, aNow + *aProperties.mPatience);
+      std::min(aAdmitted.mDeadline, aNow + *aProperties.mMaxWait);
   aAdmitted.mPool = ChoosePool(*aAdmitted.mRoute, aProperties.mId);
   return std::nullopt;
 }
--- a/Libraries/LibGateway/GatewayDialect.h
+++ b/Libraries/LibGateway/GatewayDialect.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include <LibDispatch/CallerEntry.h>
+#include <LibDispatch/ReadyInstance.h>
 #include <LibDispatch/RequestProperties.h>
 #include <LibGateway/SendParameters.h>
 #include <LibGateway/ServerAnswer.h>
@@ -20,7 +20,7 @@
 concept gateway_dialect = requires(request_head const& aHead,
                                    answer_head const& aAnswer,
                                    send_parameters const& aTerms,
-                                   std::span<caller_entry const> aEntries,
+                                   std::span<ready_instance const> aEntries,
                                    std::chrono::seconds aLifetime)
 {
   {
--- a/Libraries/LibGateway/InstanceQuestions.h
+++ b/Libraries/LibGateway/InstanceQuestions.h
@@ -26,12 +26,12 @@
   {
     std::shared_ptr<fleet_view const> const& view = mCore.View(mClock.Now());
     bool const isReady = view->mConfig && !mCore.IsLeaving();
-    if (Dialect::IsAddressQuestion(aQuestion) && !view->mEntries.empty())
+    if (Dialect::IsAddressQuestion(aQuestion) && !view->mReadyInstances.empty())
       return {
         .mHead = { .mStatus = kHttpOk,
                    .mReason = "OK",
                    .mFields = { { "Content-Type", "application/json" } } },
-        .mBody = Dialect::FormatAddresses(view->mEntries,
+        .mBody = Dialect::FormatAddresses(view->mReadyInstances,
                                           mCore.Options().mAddressLifetime)
       };
     if (Dialect::IsReadinessCheck(aQuestion) && isReady)
--- a/Libraries/LibGateway/PlanSend.cpp
+++ b/Libraries/LibGateway/PlanSend.cpp
@@ -179,11 +179,11 @@
   if (!key || aProperties.SharedTokens() < kLeastFetchedTokens)
     return terms;
   std::optional<endpoint> const store = CacheStoreOf(aCore, aWanted.mNow);
-  bool const isStored = aCore.Prefixes().IsSaved(aWanted.mNow, *key);
+  bool const isStored = aCore.Prefixes().IsStored(aWanted.mNow, *key);
   terms.mFetchFrom = FetchSource(aCore, aWanted, aServer, *key, store);
   if (store && !isStored) {
     terms.mSaveTo = store;
-    aCore.Prefixes().OnSaved(aWanted.mNow, *key);
+    aCore.Prefixes().OnStored(aWanted.mNow, *key);
   }
   return terms;
 }
--- a/Libraries/LibGateway/RunEvents.cpp
+++ b/Libraries/LibGateway/RunEvents.cpp
@@ -26,7 +26,7 @@
              { "server", aServer.Text() },
              { "cause", std::string{ aCause } },
              { "sends", std::int64_t{ mTrace.mSends } },
-             { "may_repeat", std::int64_t{ mRows.mRoute->MayRepeat() } },
+             { "may_repeat", std::int64_t{ mRows.mRoute->MayRetry() } },
              { "config", static_cast<std::int64_t>(mRows.mConfig->Version()) },
              { "since_ms", Milliseconds(aNow - mTrace.mStartedAt) } });
 }
--- a/Libraries/LibGateway/RunLimits.cpp
+++ b/Libraries/LibGateway/RunLimits.cpp
@@ -27,7 +27,7 @@
 bool
 MayRepeat(admitted_request const& aRows, run_trace const& aTrace, instant aNow)
 {
-  return aRows.mRoute->MayRepeat() &&
+  return aRows.mRoute->MayRetry() &&
          aTrace.mSends < aRows.mRoute->mMaxAttempts &&
          aRows.mDeadline - aNow > kLeastTime;
 }
--- a/Libraries/LibGateway/TrafficCore.cpp
+++ b/Libraries/LibGateway/TrafficCore.cpp
@@ -123,7 +123,7 @@
     OnAbsent(aServer);
   if (aAnswer.mLoad) {
     aServer.mLoad = aAnswer.mLoad;
-    aServer.mLoad->mToldAt = aNow;
+    aServer.mLoad->mReportedAt = aNow;
     aServer.mInFlightAtLoad = aServer.mInFlight;
   }
   if (aAnswer.mVersion)
@@ -147,8 +147,8 @@
 traffic_core::TakeReport(instant aNow)
 {
   traffic_report report = std::exchange(mReport, {});
-  report.mSpent = mQuota.Spent();
-  report.mUsed = mQuota.UsedByAll(aNow);
+  report.mSpent = mQuota.Usage();
+  report.mUsed = mQuota.WindowUsage(aNow);
   report.mMetrics = mMeter.TakeDelta();
   return report;
 }
--- a/Tests/LibDispatch/TestChooseServer.cpp
+++ b/Tests/LibDispatch/TestChooseServer.cpp
@@ -14,11 +14,11 @@
 model_name const kModel{ "m" };
 instant const kNow = instant{} + seconds{ 100 };
 
-/// Some engines with one model each.
-class engines
+/// A pool of engines that all have the same model.
+class engine_pool
 {
 public:
-  explicit engines(std::size_t aCount)
+  explicit engine_pool(std::size_t aCount)
   {
     for (std::size_t index = 0; index < aCount; ++index) {
       std::unique_ptr<tracked_server> server =
@@ -49,13 +49,13 @@
   return { .mNow = kNow, .mPromptKey = aPromptKey, .mModel = kModel };
 }
 
-TEST(TestChooseServer, EqualPromptsGoToOneServerAndAllAreUsed)
+TEST(TestChooseServer, RoutesEqualPromptsToOneServerAndUsesAllServers)
 {
-  engines some{ 6 };
+  engine_pool pool{ 6 };
   std::map<tracked_server*, int> uses;
   for (std::uint64_t key = 1; key <= 600; ++key) {
-    tracked_server* const first = ChooseServer(some.All(), Request(key * 977));
-    EXPECT_EQ(ChooseServer(some.All(), Request(key * 977)), first);
+    tracked_server* const first = ChooseServer(pool.All(), Request(key * 977));
+    EXPECT_EQ(ChooseServer(pool.All(), Request(key * 977)), first);
     ++uses[first];
   }
   EXPECT_EQ(uses.size(), 6U);
@@ -63,39 +63,39 @@
     EXPECT_GT(count, 50);
 }
 
-TEST(TestChooseServer, ALoadedServerPassesPromptsOn)
+TEST(TestChooseServer, RoutesPromptToAnotherServerAboveLoadBound)
 {
-  engines some{ 4 };
-  tracked_server* const first = ChooseServer(some.All(), Request(5));
+  engine_pool pool{ 4 };
+  tracked_server* const first = ChooseServer(pool.All(), Request(5));
   first->mInFlight = 9;
-  EXPECT_NE(ChooseServer(some.All(), Request(5)), first);
+  EXPECT_NE(ChooseServer(pool.All(), Request(5)), first);
 }
 
-TEST(TestChooseServer, TokensCountAsLoad)
+TEST(TestChooseServer, CountsTokensAsLoad)
 {
-  engines some{ 2 };
-  tracked_server* const first = ChooseServer(some.All(), Request(5));
+  engine_pool pool{ 2 };
+  tracked_server* const first = ChooseServer(pool.All(), Request(5));
   first->mMemoryTokens = 1'000;
   first->OnStart(900);
-  EXPECT_NE(ChooseServer(some.All(), Request(5)), first);
+  EXPECT_NE(ChooseServer(pool.All(), Request(5)), first);
   first->OnEnd(900);
-  EXPECT_EQ(ChooseServer(some.All(), Request(5)), first);
+  EXPECT_EQ(ChooseServer(pool.All(), Request(5)), first);
 }
 
-TEST(TestChooseServer, NewestWeightsAreUsedUntilTheirServersAreBusy)
+TEST(TestChooseServer, PrefersNewestWeightsUntilTheirServersAreBusy)
 {
-  engines some{ 4 };
-  some[2].mRegistered.mModels[0].mVersion = 2;
-  EXPECT_EQ(ChooseServer(some.All(), Request(1)), &some[2]);
-  some[2].mInFlight = 8;
-  EXPECT_NE(ChooseServer(some.All(), Request(1)), &some[2]);
+  engine_pool pool{ 4 };
+  pool[2].mRegistered.mModels[0].mVersion = 2;
+  EXPECT_EQ(ChooseServer(pool.All(), Request(1)), &pool[2]);
+  pool[2].mInFlight = 8;
+  EXPECT_NE(ChooseServer(pool.All(), Request(1)), &pool[2]);
 }
 
-// Found on scale-1: a server that came back with weights replaced long ago
-// got work at once.
-TEST(TestChooseServer, OutdatedWeightsAreNotUsed)
+// Guards against requests on outdated weights. On scale-1 a restarted server
+// whose weights had been replaced long before got requests at once.
+TEST(TestChooseServer, ExcludesServersWithOutdatedWeights)
 {
-  engines some{ 1 };
+  engine_pool pool{ 1 };
   target_weights const weights{
     .mModel = kModel,
     .mVersions = { { .mVersion = 1, .mLearnedAt = kNow - seconds{ 60 } },
@@ -104,57 +104,57 @@
   server_choice_request request = Request(1);
   request.mWeights = &weights;
   request.mOutdatedAfter = seconds{ 6 };
-  EXPECT_EQ(ChooseServer(some.All(), request), nullptr);
+  EXPECT_EQ(ChooseServer(pool.All(), request), nullptr);
   request.mOutdatedAfter = seconds{ 8 };
-  EXPECT_EQ(ChooseServer(some.All(), request), &some[0]);
-  some[0].mRegistered.mModels[0].mVersion = 2;
+  EXPECT_EQ(ChooseServer(pool.All(), request), &pool[0]);
+  pool[0].mRegistered.mModels[0].mVersion = 2;
   request.mOutdatedAfter = seconds{ 6 };
-  EXPECT_EQ(ChooseServer(some.All(), request), &some[0]);
+  EXPECT_EQ(ChooseServer(pool.All(), request), &pool[0]);
 }
 
-TEST(TestChooseServer, ServersThatMayTakeNoWorkAreLeftOut)
+TEST(TestChooseServer, ExcludesUpdatingLeavingUnreachableAndTriedServers)
 {
-  engines some{ 4 };
-  some[0].mIsUpdating = true;
-  some[1].mRegistered.mStage = server_stage::Leaving;
-  some[2].mBreaker.OnAbsence(kNow);
+  engine_pool pool{ 4 };
+  pool[0].mIsUpdating = true;
+  pool[1].mRegistered.mStage = server_stage::Leaving;
+  pool[2].mBreaker.OnAbsence(kNow);
   server_choice_request request = Request(1);
-  EXPECT_EQ(ChooseServer(some.All(), request), &some[3]);
-  request.mTried = { some[3].mRegistered.mId };
-  EXPECT_EQ(ChooseServer(some.All(), request), nullptr);
+  EXPECT_EQ(ChooseServer(pool.All(), request), &pool[3]);
+  request.mTried = { pool[3].mRegistered.mId };
+  EXPECT_EQ(ChooseServer(pool.All(), request), nullptr);
 }
 
-TEST(TestChooseServer, AnAbsentServerIsProbedByOneRequest)
+TEST(TestChooseServer, ProbesUnreachableServerWithOneRequestAtATime)
 {
-  engines some{ 1 };
-  some[0].mBreaker.OnAbsence(kNow - seconds{ 1 });
-  EXPECT_EQ(ChooseServer(some.All(), Request(1)), &some[0]);
-  some[0].mInFlight = 1;
-  EXPECT_EQ(ChooseServer(some.All(), Request(1)), nullptr);
+  engine_pool pool{ 1 };
+  pool[0].mBreaker.OnAbsence(kNow - seconds{ 1 });
+  EXPECT_EQ(ChooseServer(pool.All(), Request(1)), &pool[0]);
+  pool[0].mInFlight = 1;
+  EXPECT_EQ(ChooseServer(pool.All(), Request(1)), nullptr);
 }
 
-TEST(TestChooseServer, PlainWorkGoesToTheLeastLoadedNearest)
+TEST(TestChooseServer, RoutesPlainRequestsToLeastLoadedServerInOwnDomain)
 {
-  engines some{ 3 };
-  some[0].mInFlight = 1;
-  some[2].mRegistered.mDomain = failure_domain{ "here" };
+  engine_pool pool{ 3 };
+  pool[0].mInFlight = 1;
+  pool[2].mRegistered.mDomain = failure_domain{ "here" };
   server_choice_request const request{ .mNow = kNow,
                                        .mDomain = failure_domain{ "here" } };
-  EXPECT_EQ(ChooseServer(some.All(), request), &some[2]);
-  some[2].mInFlight = 2;
-  EXPECT_EQ(ChooseServer(some.All(), request), &some[1]);
+  EXPECT_EQ(ChooseServer(pool.All(), request), &pool[2]);
+  pool[2].mInFlight = 2;
+  EXPECT_EQ(ChooseServer(pool.All(), request), &pool[1]);
 }
 
-TEST(TestChooseServer, ACacheSourceHasTheSameWeights)
+TEST(TestChooseServer, ChoosesCacheSourceWithTheSameWeights)
 {
-  engines some{ 3 };
-  tracked_server* const first = ChooseServer(some.All(), Request(3));
+  engine_pool pool{ 3 };
+  tracked_server* const first = ChooseServer(pool.All(), Request(3));
   tracked_server* const source =
-    ChooseCacheSource(some.All(), Request(3), *first);
+    ChooseCacheSource(pool.All(), Request(3), *first);
   ASSERT_NE(source, nullptr);
   EXPECT_NE(source, first);
   source->mRegistered.mModels[0].mVersion = 2;
-  EXPECT_NE(ChooseCacheSource(some.All(), Request(3), *first), source);
+  EXPECT_NE(ChooseCacheSource(pool.All(), Request(3), *first), source);
 }
 
 }
--- a/Tests/LibDispatch/TestLedgers.cpp
+++ b/Tests/LibDispatch/TestCrashTracker.cpp
@@ -13,7 +13,7 @@
 
 instant const kNow = instant{} + seconds{ 100 };
 
-TEST(TestLedgers, ThreeLostServersMakeARequestPoison)
+TEST(TestCrashTracker, ThreeCrashesMakeARequestPoison)
 {
   crash_tracker tracker;
   tracker.OnCrash(kNow, 1, 2);
@@ -24,7 +24,7 @@
   EXPECT_FALSE(tracker.IsPoison(kNow + minutes{ 3 }, 1));
 }
 
-TEST(TestLedgers, AnAnswerClearsARequest)
+TEST(TestCrashTracker, AnswerClearsCrashCount)
 {
   crash_tracker tracker;
   tracker.OnCrash(kNow, 1, 3);
@@ -32,17 +32,17 @@
   EXPECT_FALSE(tracker.IsPoison(kNow, 1));
 }
 
-TEST(TestLedgers, HoldersAreTrustedForAShortWhile)
+TEST(TestPrefixIndex, HoldersAndStoredPartsExpire)
 {
-  prefix_index memory;
+  prefix_index index;
   backend_server_id const server{ "s" };
-  memory.OnServed(kNow, { .mKey = 7, .mServer = server, .mIsStored = true });
-  EXPECT_EQ(memory.Holder(kNow, 7), server);
-  EXPECT_TRUE(memory.IsSaved(kNow + seconds{ 5 }, 7));
-  EXPECT_FALSE(memory.Holder(kNow + seconds{ 5 }, 7));
-  memory.Prune(kNow + seconds{ 5 });
-  EXPECT_TRUE(memory.IsSaved(kNow + seconds{ 5 }, 7));
-  EXPECT_FALSE(memory.IsSaved(kNow + minutes{ 1 }, 7));
+  index.OnServed(kNow, { .mKey = 7, .mServer = server, .mIsStored = true });
+  EXPECT_EQ(index.Holder(kNow, 7), server);
+  EXPECT_TRUE(index.IsStored(kNow + seconds{ 5 }, 7));
+  EXPECT_FALSE(index.Holder(kNow + seconds{ 5 }, 7));
+  index.Prune(kNow + seconds{ 5 });
+  EXPECT_TRUE(index.IsStored(kNow + seconds{ 5 }, 7));
+  EXPECT_FALSE(index.IsStored(kNow + minutes{ 1 }, 7));
 }
 
 fleet_view
@@ -55,7 +55,7 @@
                                           .mVersion = aVersion } } } } };
 }
 
-TEST(TestLedgers, ANewLifeStartsWithNothingKnown)
+TEST(TestServerTable, NewIncarnationStartsWithoutState)
 {
   server_table table;
   table.Apply(ViewOf(1, 3));
@@ -66,7 +66,7 @@
   EXPECT_EQ(table.Pool(pool_name{ "p" })[0]->mInFlight, 0U);
 }
 
-TEST(TestLedgers, VersionsNeverGoBackWithinALife)
+TEST(TestServerTable, VersionsNeverDecreaseWithinAnIncarnation)
 {
   server_table table;
   table.Apply(ViewOf(1, 3));
--- a/Tests/LibDispatch/TestDispatchConfig.cpp
+++ b/Tests/LibDispatch/TestDispatchConfig.cpp
@@ -19,7 +19,7 @@
   return { 1, std::move(routes), {}, std::move(workspaces), {} };
 }
 
-TEST(TestDispatchConfig, TheLongestPrefixWins)
+TEST(TestDispatchConfig, FindsRouteWithLongestPrefix)
 {
   dispatch_config const config = Config();
   EXPECT_EQ(config.FindRoute("h", "/a/b/c")->mName, route_name{ "long" });
@@ -28,7 +28,7 @@
   EXPECT_EQ(config.FindRoute("x", "/a/"), nullptr);
 }
 
-TEST(TestDispatchConfig, KeysLeadToTheirWorkspace)
+TEST(TestDispatchConfig, FindsWorkspaceByAnyOfItsKeys)
 {
   dispatch_config const config = Config();
   ASSERT_NE(config.FindWorkspace("k2"), nullptr);
--- a/Tests/LibDispatch/TestQuotaLimiter.cpp
+++ b/Tests/LibDispatch/TestQuotaLimiter.cpp
@@ -18,7 +18,7 @@
 dispatch_workspace const kWorkspace{ .mName = workspace_id{ "w" },
                                      .mRate = 100,
                                      .mBurst = 200 };
-// Rate over the window and burst.
+// Rate times window plus burst, in units.
 constexpr double kLimit = 1'000;
 
 instant
@@ -28,7 +28,7 @@
 }
 
 fleet_view
-View(std::uint32_t aInstances, std::uint32_t aSilent)
+View(std::uint32_t aInstances, std::uint32_t aUnresponsive)
 {
   return { .mConfig = std::make_shared<dispatch_config const>(
              1,
@@ -37,10 +37,10 @@
              std::vector<dispatch_workspace>{ kWorkspace },
              caller_limits{}),
            .mInstances = aInstances,
-           .mUnresponsiveInstances = aSilent };
+           .mUnresponsiveInstances = aUnresponsive };
 }
 
-// A limiter that has counted for a whole window.
+// Returns a limiter that has counted for more than a window.
 quota_limiter
 SettledLimiter(fleet_view const& aView)
 {
@@ -58,7 +58,7 @@
   return charged;
 }
 
-TEST(TestQuotaLimiter, AWindowHoldsRateAndBurst)
+TEST(TestQuotaLimiter, AdmitsRateAndBurstPerWindow)
 {
   quota_limiter limiter = SettledLimiter(View(1, 0));
   EXPECT_EQ(ChargeAll(limiter, At({})), kLimit);
@@ -67,22 +67,22 @@
   EXPECT_EQ(ChargeAll(limiter, At(kWindow + seconds{ 1 })), kLimit);
 }
 
-TEST(TestQuotaLimiter, OthersAdmissionsCount)
+TEST(TestQuotaLimiter, CountsAdmissionsOfOtherInstances)
 {
   fleet_view view = View(2, 0);
   quota_limiter limiter = SettledLimiter(view);
-  view.mSpentElsewhere = { { kWorkspace.mName, 700 } };
+  view.mPeerUsage = { { kWorkspace.mName, 700 } };
   limiter.Apply(At({}), view);
   EXPECT_EQ(ChargeAll(limiter, At({})), kLimit - 700);
 }
 
-TEST(TestQuotaLimiter, SilentInstancesKeepTheirShare)
+TEST(TestQuotaLimiter, SetsAsideShareOfUnresponsiveInstances)
 {
   quota_limiter limiter = SettledLimiter(View(4, 3));
   EXPECT_EQ(ChargeAll(limiter, At({})), kLimit / 4);
 }
 
-TEST(TestQuotaLimiter, ARefusedRequestIsGivenBack)
+TEST(TestQuotaLimiter, RefundAllowsAnotherCharge)
 {
   quota_limiter limiter = SettledLimiter(View(1, 0));
   ASSERT_TRUE(limiter.TryCharge(At({}), kWorkspace, kLimit));
@@ -91,9 +91,10 @@
   EXPECT_TRUE(limiter.TryCharge(At({}), kWorkspace, kLimit));
 }
 
-// Found on trouble-3: after all instances were killed at once, a second burst
-// was admitted within one window.
-TEST(TestQuotaLimiter, ARestartDoesNotRenewTheBurst)
+// Guards against a burst after each restart. On trouble-3 all instances were
+// killed at once, and after their restart a second burst was admitted within
+// one window.
+TEST(TestQuotaLimiter, RestartDoesNotRenewTheBurst)
 {
   quota_limiter limiter{ { .mWindow = kWindow } };
   limiter.Apply(At({}), View(1, 0));
@@ -101,23 +102,22 @@
   for (duration at{}; at < kWindow; at += milliseconds{ 100 })
     charged += ChargeAll(limiter, At(at));
   EXPECT_LE(charged, kLimit);
-  // The rate itself stays open.
+  // The rate itself stays available.
   EXPECT_GE(charged, kWorkspace.mRate * 7);
 }
 
-TEST(TestQuotaLimiter, PeersTellARestartedInstanceWhatWasAdmitted)
+TEST(TestQuotaLimiter, RestartedInstanceTakesWindowUsageFromPeers)
 {
   quota_limiter limiter{ { .mWindow = kWindow } };
   fleet_view view = View(2, 0);
   limiter.Apply(At({}), view);
   EXPECT_EQ(ChargeAll(limiter, At({})), 0);
-  view.mUsedElsewhere = { { kWorkspace.mName, 400 } };
+  view.mWindowUsage = { { kWorkspace.mName, 400 } };
   limiter.Apply(At(milliseconds{ 100 }), view);
   EXPECT_NEAR(ChargeAll(limiter, At(milliseconds{ 100 })), kLimit - 400, 10);
 }
 
-// What a fleet admits in 20 s while it is asked for five times the rate and
-// hears of itself every 0.4 s.
+// Simulates 40 instances for 20 s that exchange their usage every 0.4 s.
 class quota_fleet
 {
 public:
@@ -125,7 +125,7 @@
   static constexpr milliseconds kDelay{ 400 };
 
   explicit quota_fleet(std::uint32_t aSeed)
-    : mTold(kInstances)
+    : mReported(kInstances)
     , mView(View(kInstances, 0))
   {
     mView.mReportDelay = kDelay;
@@ -136,73 +136,74 @@
     }
   }
 
-  // Returns the most and the last that a window held.
-  std::pair<double, double> Run(double aAskedASecond)
+  // Returns the highest and the final usage within a window, in units.
+  std::pair<double, double> Run(double aDemandPerSecond)
   {
     constexpr milliseconds kStep{ 10 };
     constexpr double kUnits = 2;
     double due = 0;
     int next = 0;
-    double most = 0;
+    double highest = 0;
     for (duration at{}; at < seconds{ 20 }; at += kStep) {
-      due += aAskedASecond * 0.01;
+      due += aDemandPerSecond * 0.01;
       for (; due >= kUnits; due -= kUnits) {
         next = (next + 17) % kInstances;
         if (mLimiters[next].TryCharge(At(at), kWorkspace, kUnits))
-          mAll.Add(At(at), kUnits);
+          mFleetWindow.Add(At(at), kUnits);
       }
       if (at % kDelay == duration{})
-        Tell(At(at));
-      most = std::max(most, mAll.Sum(At(at)));
+        ExchangeReports(At(at));
+      highest = std::max(highest, mFleetWindow.Sum(At(at)));
     }
-    return { most, mAll.Sum(At(seconds{ 20 })) };
+    return { highest, mFleetWindow.Sum(At(seconds{ 20 })) };
   }
 
 private:
-  void Tell(instant aNow)
+  void ExchangeReports(instant aNow)
   {
     workspace_usage all{ .mWorkspace = kWorkspace.mName };
     for (int index = 0; index < kInstances; ++index) {
-      mTold[index] = mLimiters[index].Spent().empty()
-                       ? workspace_usage{}
-                       : mLimiters[index].Spent().front();
-      all.mUnits += mTold[index].mUnits;
-      all.mDemand += mTold[index].mDemand;
+      mReported[index] = mLimiters[index].Usage().empty()
+                           ? workspace_usage{}
+                           : mLimiters[index].Usage().front();
+      all.mUnits += mReported[index].mUnits;
+      all.mDemand += mReported[index].mDemand;
     }
     for (int index = 0; index < kInstances; ++index) {
-      mView.mSpentElsewhere = { { kWorkspace.mName,
-                                  all.mUnits - mTold[index].mUnits,
-                                  all.mDemand - mTold[index].mDemand } };
+      mView.mPeerUsage = { { kWorkspace.mName,
+                             all.mUnits - mReported[index].mUnits,
+                             all.mDemand - mReported[index].mDemand } };
       mLimiters[index].Apply(aNow, mView);
     }
   }
 
   std::vector<quota_limiter> mLimiters;
-  std::vector<workspace_usage> mTold;
+  std::vector<workspace_usage> mReported;
   fleet_view mView;
-  quota_window mAll{ kWindow };
+  quota_window mFleetWindow{ kWindow };
 };
 
-// Found on a grown site's day: 80 instances that all saw room in a window at
-// the same moment filled it several times over before they heard of it.
-TEST(TestQuotaLimiter, AFleetThatHearsLateKeepsToTheLimitAndFillsIt)
+// Guards against admissions beyond the limit between two reports. On a day of a
+// grown site 80 instances saw the same free part of a window at once and filled
+// it several times over before their reports arrived.
+TEST(TestQuotaLimiter, FleetWithDelayedReportsKeepsToTheLimitAndFillsIt)
 {
   for (std::uint32_t seed = 1; seed <= 100; ++seed) {
-    auto const [most, last] =
+    auto const [highest, last] =
       quota_fleet{ seed * 1'000 }.Run(5 * kWorkspace.mRate);
-    EXPECT_LE(most, 1.1 * kLimit) << "seed " << seed;
+    EXPECT_LE(highest, 1.1 * kLimit) << "seed " << seed;
     EXPECT_GE(last, 0.9 * kLimit) << "seed " << seed;
   }
 }
 
-TEST(TestQuotaLimiter, AFleetThatIsAskedForLessThanTheRateRefusesNothing)
+TEST(TestQuotaLimiter, FleetWithDemandBelowTheRateRefusesNothing)
 {
-  constexpr double kAsked = 0.9 * 100;
-  auto const [most, last] = quota_fleet{ 1 }.Run(kAsked);
-  EXPECT_NEAR(last, kAsked * 8, 0.05 * kLimit);
+  constexpr double kDemand = 0.9 * 100;
+  auto const [highest, last] = quota_fleet{ 1 }.Run(kDemand);
+  EXPECT_NEAR(last, kDemand * 8, 0.05 * kLimit);
 }
 
-TEST(TestQuotaLimiter, NoLimitIsNoLimit)
+TEST(TestQuotaLimiter, WorkspaceWithoutRateIsUnlimited)
 {
   quota_limiter limiter{ { .mWindow = kWindow } };
   EXPECT_TRUE(limiter.TryCharge(
--- a/Tests/LibDispatch/TestUsageTotals.cpp
+++ b/Tests/LibDispatch/TestUsageTotals.cpp
@@ -5,7 +5,7 @@
 namespace lycheeseam {
 namespace {
 
-TEST(TestUsageTotals, AddsUpByWorkspaceAndTakesBack)
+TEST(TestUsageTotals, SumsByWorkspaceAndSubtracts)
 {
   workspace_usage const first{ workspace_id{ "a" }, 2, 3 };
   workspace_usage const second{ workspace_id{ "b" }, 5, 7 };
--- a/Tests/LibGateway/GatewayFixture.h
+++ b/Tests/LibGateway/GatewayFixture.h
@@ -90,7 +90,7 @@
           .mPool = pool_name{ "p" },
           .mAddress = aServers[index]->Address(),
           .mSlots = 8 });
-    view->mEntries = { { .mAddress = mCallers } };
+    view->mReadyInstances = { { .mAddress = mCallers } };
     mView.Publish(view);
     std::promise<void> started;
     boost::asio::post(mTraffic.Context(), [this, &started]() {
--- a/Tests/Platform/TestRequestDialect.cpp
+++ b/Tests/Platform/TestRequestDialect.cpp
@@ -29,7 +29,7 @@
            { "Authorization", "Bearer k" } }));
   EXPECT_EQ(properties.mHost, "h");
   EXPECT_EQ(properties.mPath, "/a/b");
-  EXPECT_EQ(properties.mPatience, std::chrono::milliseconds{ 600 });
+  EXPECT_EQ(properties.mMaxWait, std::chrono::milliseconds{ 600 });
   EXPECT_EQ(properties.mPromptTokens, 1460);
   EXPECT_EQ(properties.mMaxOutputTokens, 80);
   EXPECT_EQ(properties.mLastEvent, 12U);
