--- a/Libraries/LibFleet/StoreWatch.h
+++ b/Libraries/LibFleet/StoreWatch.h
@@ -157,7 +157,7 @@
                       .mRecords = aPage.mRecords });
     topic_state& state =
       aTopic == store_topic::Operators ? mOperators.mState : mServers.mState;
-    mNewsHandler(aTopic, state.Take(aPage, aIsWhole), mSource);
+    mNewsHandler(aTopic, state.Apply(aPage, aIsWhole), mSource);
   }
 
   void TakeRelay(topic_relay const& aRelay, watched& aTopic)
--- a/Libraries/LibStore/KeyedRecord.h
+++ b/Libraries/LibStore/KeyedRecord.h
@@ -6,12 +6,12 @@
 
 namespace lycheeseam {
 
-/// A record of a keyed topic: what is known of its key from then on.
+/// A record of a keyed topic, which sets or deletes the value of its key.
 struct keyed_record
 {
   std::uint64_t mOffset = 0;
   std::string mKey;
-  /// Nothing when the key was dropped.
+  /// Nothing when the record deletes the key.
   std::optional<std::string> mValue;
 
   bool operator==(keyed_record const&) const = default;
--- a/Libraries/LibStore/StoreReadStatus.h
+++ b/Libraries/LibStore/StoreReadStatus.h
@@ -2,13 +2,13 @@
 
 namespace lycheeseam {
 
-/// How a read of the store ended.
+/// The result of a read from the store.
 enum class store_read_status
 {
   Done,
-  /// The records from that offset on have been dropped.
+  /// The offset is before the retained range.
   Expired,
-  /// The store didn't answer, refused, or answered what can't be read.
+  /// The store was unreachable, refused the request, or sent an invalid answer.
   Failed,
 };
 
--- a/Libraries/LibStore/StoreTopic.h
+++ b/Libraries/LibStore/StoreTopic.h
@@ -2,18 +2,18 @@
 
 namespace lycheeseam {
 
-/// The topics of the platform's store that the fleet uses.
+/// The topics of the platform's store that the instances use.
 enum class store_topic
 {
-  /// What operators wrote: the configuration and named weights.
+  /// Operators' input: the configuration and the target weights.
   Operators,
-  /// The backend servers' entries.
+  /// Registrations of the backend servers.
   Servers,
-  /// The instances' own entries.
+  /// Registrations of the instances.
   Instances,
-  /// Who may give orders to engines.
+  /// Leases: which instance may give orders to engines.
   Leases,
-  /// What was admitted lately, for instances that start anew.
+  /// Recent usage of the workspaces' quotas, for instances that start.
   Usage,
 };
 
--- a/Libraries/LibStore/TopicPage.h
+++ b/Libraries/LibStore/TopicPage.h
@@ -7,13 +7,13 @@
 
 namespace lycheeseam {
 
-/// Records of a topic that were read at once.
+/// Records of a topic from one read.
 struct topic_page
 {
   std::vector<keyed_record> mRecords;
-  /// The offset behind the topic's last record.
+  /// The offset after the topic's last record.
   std::uint64_t mEnd = 0;
-  /// True when keys follow that the page had no room for.
+  /// True when the page is full and more keys follow.
   bool mHasMore = false;
 };
 
--- a/Libraries/LibStore/TopicState.cpp
+++ b/Libraries/LibStore/TopicState.cpp
@@ -6,24 +6,24 @@
 namespace lycheeseam {
 
 std::vector<keyed_record>
-topic_state::Take(topic_page const& aPage, bool aIsWhole)
+topic_state::Apply(topic_page const& aPage, bool aIsComplete)
 {
-  std::vector<keyed_record> news;
+  std::vector<keyed_record> newRecords;
   for (keyed_record const& record : aPage.mRecords) {
     auto const [entry, isNew] = mKeys.try_emplace(record.mKey);
     if (!isNew && record.mOffset <= entry->second.mOffset)
       continue;
-    entry->second = { .mOffset = record.mOffset, .mIsDropped = !record.mValue };
-    news.push_back(record);
+    entry->second = { .mOffset = record.mOffset, .mIsDeleted = !record.mValue };
+    newRecords.push_back(record);
   }
-  if (aIsWhole)
-    AddMissing(aPage, news);
-  return news;
+  if (aIsComplete)
+    AddDeletions(aPage, newRecords);
+  return newRecords;
 }
 
 void
-topic_state::AddMissing(topic_page const& aPage,
-                        std::vector<keyed_record>& aNews)
+topic_state::AddDeletions(topic_page const& aPage,
+                          std::vector<keyed_record>& aNewRecords)
 {
   std::set<std::string_view> listed;
   for (keyed_record const& record : aPage.mRecords)
@@ -32,10 +32,10 @@
     std::string const& key = entry.first;
     known_key& known = entry.second;
     bool const isCovered = known.mOffset < aPage.mEnd;
-    if (known.mIsDropped || !isCovered || listed.contains(key))
+    if (known.mIsDeleted || !isCovered || listed.contains(key))
       continue;
-    known.mIsDropped = true;
-    aNews.push_back({ .mOffset = known.mOffset, .mKey = key });
+    known.mIsDeleted = true;
+    aNewRecords.push_back({ .mOffset = known.mOffset, .mKey = key });
   }
 }
 
--- a/Libraries/LibStore/TopicState.h
+++ b/Libraries/LibStore/TopicState.h
@@ -9,26 +9,29 @@
 
 namespace lycheeseam {
 
-/// Which record of each key of a topic is known, so that pages may come twice,
-/// late, from peers, or from a store whose reads lag behind.
+/// Tracks the newest known record of each key of a topic. It filters out known
+/// and outdated records, since pages may arrive twice, late, from peers, or
+/// from a store whose reads lag.
 class topic_state
 {
 public:
-  /// The records of a page that are news, in their order. A whole page holds
-  /// the newest record of every key: a known key that it lacks was dropped,
-  /// unless its record is newer than the page.
-  [[nodiscard]] std::vector<keyed_record> Take(topic_page const& aPage,
-                                               bool aIsWhole);
+  /// Returns the records of a page that are newer than the known ones, in their
+  /// order. A complete page holds the newest record of every key: a known key
+  /// that is missing from it was deleted, unless its record is newer than the
+  /// page. Each such deletion is returned as a record without a value.
+  [[nodiscard]] std::vector<keyed_record> Apply(topic_page const& aPage,
+                                                bool aIsComplete);
 
 private:
   struct known_key
   {
     std::uint64_t mOffset = 0;
-    bool mIsDropped = false;
+    bool mIsDeleted = false;
   };
   using known_keys = std::map<std::string, known_key>;
 
-  void AddMissing(topic_page const& aPage, std::vector<keyed_record>& aNews);
+  void AddDeletions(topic_page const& aPage,
+                    std::vector<keyed_record>& aNewRecords);
 
   known_keys mKeys;
 };
