--- a/Libraries/LibDispatch/RequestProperties.h
+++ b/Libraries/LibDispatch/RequestProperties.h
@@ -22,7 +22,7 @@
   std::optional<std::string> mKey;
   /// How long the caller waits, counted from the request's arrival.
   std::optional<duration> mMaxWait;
-  /// Empty for plain services.
+  /// Empty for requests that use no model.
   model_name mModel;
   /// Nothing when the request doesn't state its size.
   std::optional<token_count> mPromptTokens;
