--- a/Libraries/LibFleet/FleetControl.h
+++ b/Libraries/LibFleet/FleetControl.h
@@ -226,19 +226,19 @@
     mView.mServers = mRecords.Servers().Servers();
     mView.mUpdating = mOrderDriver.Updating();
     mView.mUpdating.merge(peers.Updating(now));
-    mView.mEntries = peers.Entries();
+    mView.mReadyInstances = peers.Entries();
     if (IsReady())
-      mView.mEntries.push_back(
+      mView.mReadyInstances.push_back(
         { .mInstance = mOptions.mSelf.mIdentity.mInstance,
           .mDomain = mOptions.mSelf.mFailureDomain,
           .mAddress = mOptions.mSelf.mCallers });
     mView.mInstances = peers.Known().Count() + 1;
     mView.mUnresponsiveInstances = peers.Unresponsive(now);
     mView.mReportDelay = mLinks.ReportDelay();
-    mView.mSpentElsewhere = peers.Usage().Total();
-    mView.mUsedElsewhere = peers.WindowUsage(now);
-    if (mView.mUsedElsewhere.empty() && mView.mConfig)
-      mView.mUsedElsewhere = mUsageWriter.StoredUsage(*mView.mConfig);
+    mView.mPeerUsage = peers.Usage().Total();
+    mView.mWindowUsage = peers.WindowUsage(now);
+    if (mView.mWindowUsage.empty() && mView.mConfig)
+      mView.mWindowUsage = mUsageWriter.StoredUsage(*mView.mConfig);
     mPublished.Publish(std::make_shared<fleet_view const>(mView));
   }
 
--- a/Libraries/LibFleet/PeerRegistry.h
+++ b/Libraries/LibFleet/PeerRegistry.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include <LibCore/Instant.h>
-#include <LibDispatch/CallerEntry.h>
+#include <LibDispatch/ReadyInstance.h>
 #include <LibDispatch/WorkspaceUsage.h>
 #include <LibFleet/KnownInstances.h>
 #include <LibFleet/PeerLink.h>
@@ -63,7 +63,7 @@
   [[nodiscard]] known_instances const& Known() const noexcept { return mKnown; }
 
   /// The other instances that are ready for callers and aren't leaving.
-  [[nodiscard]] std::vector<caller_entry> Entries() const;
+  [[nodiscard]] std::vector<ready_instance> Entries() const;
 
   /// The number of other instances that no live link reports.
   [[nodiscard]] std::uint32_t Unresponsive(instant aNow) const;
--- a/Libraries/LibFleet/StoreFollower.h
+++ b/Libraries/LibFleet/StoreFollower.h
@@ -161,7 +161,7 @@
                       .mRecords = aPage.mRecords });
     topic_state& state =
       aTopic == store_topic::Operators ? mOperators.mState : mServers.mState;
-    mNewRecordsHandler(aTopic, state.Take(aPage, aIsFull), mSource);
+    mNewRecordsHandler(aTopic, state.Apply(aPage, aIsFull), mSource);
   }
 
   void ApplyRelay(topic_relay const& aRelay, followed_topic& aTopic)
--- a/Libraries/LibGateway/PlanSend.cpp
+++ b/Libraries/LibGateway/PlanSend.cpp
@@ -185,12 +185,12 @@
     return parameters;
   std::optional<endpoint> const store =
     CacheStoreOf(aCore, aChoiceRequest.mNow);
-  bool const isStored = aCore.Prefixes().IsSaved(aChoiceRequest.mNow, *key);
+  bool const isStored = aCore.Prefixes().IsStored(aChoiceRequest.mNow, *key);
   parameters.mFetchFrom =
     FetchSource(aCore, aChoiceRequest, aServer, *key, store);
   if (store && !isStored) {
     parameters.mSaveTo = store;
-    aCore.Prefixes().OnSaved(aChoiceRequest.mNow, *key);
+    aCore.Prefixes().OnStored(aChoiceRequest.mNow, *key);
   }
   return parameters;
 }
--- a/Libraries/LibGateway/RunEvents.cpp
+++ b/Libraries/LibGateway/RunEvents.cpp
@@ -27,7 +27,7 @@
       { "server", aServer.Text() },
       { "cause", std::string{ aCause } },
       { "sends", std::int64_t{ mTrace.mSends } },
-      { "may_repeat", std::int64_t{ mAdmitted.mRoute->MayRepeat() } },
+      { "may_repeat", std::int64_t{ mAdmitted.mRoute->MayRetry() } },
       { "config", static_cast<std::int64_t>(mAdmitted.mConfig->Version()) },
       { "since_ms", Milliseconds(aNow - mTrace.mStartedAt) } });
 }
--- a/Libraries/LibGateway/RunLimits.cpp
+++ b/Libraries/LibGateway/RunLimits.cpp
@@ -30,7 +30,7 @@
          run_trace const& aTrace,
          instant aNow)
 {
-  return aAdmitted.mRoute->MayRepeat() &&
+  return aAdmitted.mRoute->MayRetry() &&
          aTrace.mSends < aAdmitted.mRoute->mMaxAttempts &&
          aAdmitted.mDeadline - aNow > kMinAttemptTime;
 }
--- a/Libraries/LibGateway/ServerAttempt.h
+++ b/Libraries/LibGateway/ServerAttempt.h
@@ -68,7 +68,7 @@
   void OnUnreachable(instant aNow)
   {
     breaker_state const before = mServer->mBreaker.State(aNow);
-    mServer->mBreaker.OnAbsence(aNow);
+    mServer->mBreaker.OnUnreachable(aNow);
     ReportBreaker(aNow, before);
     mCore.Connections().CloseIdle(mServer->mRegistered.mId);
   }
@@ -78,7 +78,7 @@
   {
     breaker_state const before = mServer->mBreaker.State(aNow);
     if (aEnd == exchange_end::Unresponsive)
-      mServer->mBreaker.OnAbsence(aNow);
+      mServer->mBreaker.OnUnreachable(aNow);
     else
       mServer->mBreaker.OnFailure(aNow);
     ReportBreaker(aNow, before);
--- a/Libraries/LibGateway/TrafficCore.cpp
+++ b/Libraries/LibGateway/TrafficCore.cpp
@@ -54,7 +54,7 @@
   // Half of the slack can be saved up and half is earned within a window, so
   // that no window sees more than the full slack.
   return { .mRetriesPerRequest = kRetryBudgetFraction * mOptions.mRetryRatio,
-           .mMaxSaved = slack / 2,
+           .mMaxAvailable = slack / 2,
            .mRetriesPerSecond =
              slack / 2 / static_cast<double>(mOptions.mRetryWindow.count()) };
 }
@@ -75,7 +75,7 @@
 traffic_core::TrySpendRetry(instant aNow, pool_name const& aPool)
 {
   retry_budget& budget = RetryBudget(aPool);
-  budget.OnTime(aNow);
+  budget.Refill(aNow);
   if (budget.TrySpend())
     return true;
   mMeter.OnRetryDenied(aPool);
@@ -126,7 +126,7 @@
     OnReplaced(aServer);
   if (aAnswer.mLoad) {
     aServer.mLoad = aAnswer.mLoad;
-    aServer.mLoad->mToldAt = aNow;
+    aServer.mLoad->mReportedAt = aNow;
     aServer.mInFlightAtLoad = aServer.mInFlight;
   }
   if (aAnswer.mVersion)
@@ -150,8 +150,8 @@
 traffic_core::TakeReport(instant aNow)
 {
   traffic_report report = std::exchange(mReport, {});
-  report.mUsage = mQuota.Spent();
-  report.mWindowUsage = mQuota.UsedByAll(aNow);
+  report.mUsage = mQuota.Usage();
+  report.mWindowUsage = mQuota.WindowUsage(aNow);
   report.mMetrics = mMeter.TakeDelta();
   return report;
 }
