--- a/Bench/Peers/MeasureLinks.cpp
+++ b/Bench/Peers/MeasureLinks.cpp
@@ -80,7 +80,7 @@
   for (std::size_t i = 0; i < aLinks; ++i) {
     peers.push_back(
       std::make_unique<bench_peer>(context, "p" + std::to_string(i)));
-    peers.back()->mHub.SetWanted(std::span{ &contact, 1 });
+    peers.back()->mHub.SetPeers(std::span{ &contact, 1 });
     peers.back()->mHub.Start();
   }
   centre.mHub.Start();
--- a/Libraries/LibFleet/FleetLinks.h
+++ b/Libraries/LibFleet/FleetLinks.h
@@ -40,7 +40,7 @@
           mHub.Multicast(aPeers, std::move(aMessage));
         },
         [this](std::span<peer_contact const> aContacts) {
-          mHub.SetWanted(aContacts);
+          mHub.SetPeers(aContacts);
         },
         [this](instance_id const& aPeer) { mHub.Release(aPeer); })
     , mHub(
--- a/Libraries/LibFleet/StoreWatch.h
+++ b/Libraries/LibFleet/StoreWatch.h
@@ -151,7 +151,7 @@
   {
     if (mSource == page_source::Store && !aPage.mRecords.empty())
       mRelayHandler({ .mTopic = aTopic,
-                      .mIsWhole = aIsWhole,
+                      .mIsSnapshot = aIsWhole,
                       .mFrom = aFrom,
                       .mEnd = aPage.mEnd,
                       .mRecords = aPage.mRecords });
@@ -164,7 +164,7 @@
   {
     topic_page const page{ .mRecords = aRelay.mRecords, .mEnd = aRelay.mEnd };
     mSource = page_source::Peer;
-    if (aRelay.mIsWhole)
+    if (aRelay.mIsSnapshot)
       aTopic.mReader.TakeWhole(page);
     else if (!aTopic.mReader.Take(aRelay.mFrom, page))
       aTopic.mDuty.ReadSoon();
--- a/Libraries/LibPeer/DecodeBlockMessage.h
+++ b/Libraries/LibPeer/DecodeBlockMessage.h
@@ -6,7 +6,7 @@
 
 namespace lycheeseam {
 
-/// Each turns a verified table into its message.
+/// Each decodes a verified table into its message.
 block_message
 DecodeBlockMessage(wire::BlockLookup const& aTable);
 block_message
--- a/Libraries/LibPeer/DecodeBudgetMessage.cpp
+++ b/Libraries/LibPeer/DecodeBudgetMessage.cpp
@@ -11,7 +11,7 @@
            .mIncarnation = incarnation{ aIdentity.incarnation() } };
 }
 
-// A number that names no result gives no tokens.
+// An unknown result counts as NotHolder, which lends no tokens.
 grant_result
 DecodeResult(wire::GrantResult aResult)
 {
@@ -88,16 +88,16 @@
 budget_message
 DecodeBudgetMessage(wire::StandingWord const& aTable)
 {
-  quorum_answer word{ .mFrom = DecodeIdentity(*aTable.from()),
-                      .mTo = DecodeIdentity(*aTable.to()),
-                      .mProbeSentAt =
-                        instant{ duration{ aTable.probe_sent_at_ns() } },
-                      .mFolded = log_offset{ aTable.folded() } };
+  quorum_answer answer{ .mFrom = DecodeIdentity(*aTable.from()),
+                        .mTo = DecodeIdentity(*aTable.to()),
+                        .mProbeSentAt =
+                          instant{ duration{ aTable.probe_sent_at_ns() } },
+                        .mFolded = log_offset{ aTable.folded() } };
   for (std::uint64_t const slot : *aTable.slots())
-    word.mSlots.emplace_back(slot);
+    answer.mSlots.emplace_back(slot);
   for (flatbuffers::String const* const instance : *aTable.silent())
-    word.mUnresponsive.emplace_back(instance->str());
-  return word;
+    answer.mUnresponsive.emplace_back(instance->str());
+  return answer;
 }
 
 }
--- a/Libraries/LibPeer/DecodeBudgetMessage.h
+++ b/Libraries/LibPeer/DecodeBudgetMessage.h
@@ -6,7 +6,7 @@
 
 namespace lycheeseam {
 
-/// Each turns a verified table into its message.
+/// Each decodes a verified table into its message.
 budget_message
 DecodeBudgetMessage(wire::TokenRequest const& aTable);
 budget_message
--- a/Libraries/LibPeer/DecodeFleetMessage.cpp
+++ b/Libraries/LibPeer/DecodeFleetMessage.cpp
@@ -12,7 +12,7 @@
 DecodeTopic(std::uint8_t aValue)
 {
   if (aValue > static_cast<std::uint8_t>(store_topic::Usage))
-    throw invalid_input("a relay's topic is unknown");
+    throw invalid_input("topic relay: topic is not a known store topic");
   return static_cast<store_topic>(aValue);
 }
 
@@ -20,7 +20,7 @@
 DecodeScope(wire::ReportScope aValue)
 {
   if (aValue > wire::ReportScope::MAX)
-    throw invalid_input("a report's scope is unknown");
+    throw invalid_input("fleet report: scope is not a known report scope");
   return static_cast<report_scope>(aValue);
 }
 
@@ -50,12 +50,12 @@
   for (wire::CrashCount const* const crash : *aTable.crashes())
     report.mCrashes.push_back(
       { .mFingerprint = crash->fingerprint(), .mCount = crash->count() });
-  for (wire::SeenWeights const* const seen : *aTable.weights())
+  for (wire::SeenWeights const* const observed : *aTable.weights())
     report.mWeights.push_back(
-      { .mServer = backend_server_id{ seen->server()->str() },
-        .mIncarnation = incarnation{ seen->incarnation() },
-        .mModel = model_name{ seen->model()->str() },
-        .mVersion = seen->version() });
+      { .mServer = backend_server_id{ observed->server()->str() },
+        .mIncarnation = incarnation{ observed->incarnation() },
+        .mModel = model_name{ observed->model()->str() },
+        .mVersion = observed->version() });
   for (flatbuffers::String const* const server : *aTable.turning())
     report.mUpdating.emplace_back(server->str());
   for (wire::PrefixHolder const* const holder : *aTable.holders())
@@ -70,7 +70,7 @@
 DecodeFleetMessage(wire::TopicRelay const& aTable)
 {
   topic_relay relay{ .mTopic = DecodeTopic(aTable.topic()),
-                     .mIsWhole = aTable.whole(),
+                     .mIsSnapshot = aTable.whole(),
                      .mFrom = aTable.from(),
                      .mEnd = aTable.end() };
   for (wire::KeyedRecord const* const record : *aTable.records()) {
--- a/Libraries/LibPeer/DecodeFleetMessage.h
+++ b/Libraries/LibPeer/DecodeFleetMessage.h
@@ -6,7 +6,7 @@
 
 namespace lycheeseam {
 
-/// Each turns a verified table into its message; throws invalid_input.
+/// Each decodes a verified table into its message; throws invalid_input.
 fleet_message
 DecodeFleetMessage(wire::FleetReport const& aTable);
 fleet_message
--- a/Libraries/LibPeer/DecodePeerMessage.cpp
+++ b/Libraries/LibPeer/DecodePeerMessage.cpp
@@ -24,9 +24,10 @@
 std::chrono::milliseconds
 Milliseconds(std::uint64_t aCount)
 {
-  // Beyond a year nothing differs, and sums with it can't overflow.
-  constexpr std::uint64_t kMost = 366ULL * 24 * 3600 * 1000;
-  return std::chrono::milliseconds{ std::min(aCount, kMost) };
+  // Durations beyond a year have the same effect as a year; the limit keeps
+  // sums with them from overflowing.
+  constexpr std::uint64_t kMaxMilliseconds = 366ULL * 24 * 3600 * 1000;
+  return std::chrono::milliseconds{ std::min(aCount, kMaxMilliseconds) };
 }
 
 peer_message
@@ -36,23 +37,26 @@
 }
 
 peer_message
-Decode(wire::Heartbeat const& aBeat)
+Decode(wire::Heartbeat const& aHeartbeat)
 {
-  peer_heartbeat beat{ .mAnswer = aBeat.wants_answer()
-                                    ? heartbeat_answer::Wanted
-                                    : heartbeat_answer::NotWanted,
-                       .mIsLeaving = aBeat.leaving(),
-                       .mSentAt = instant{ duration{ aBeat.sent_at_ns() } },
-                       .mApplied = log_offset{ aBeat.applied() } };
-  if (aBeat.echo_ns() != 0)
-    beat.mEcho = instant{ duration{ aBeat.echo_ns() } };
-  if (aBeat.tail() != 0)
-    beat.mTail = tail_observation{ .mTail = log_offset{ aBeat.tail() },
-                                   .mAge = Milliseconds(aBeat.tail_age_ms()) };
-  for (wire::DomainSign const* const sign : *aBeat.domains())
-    beat.mDomains.push_back({ .mDomain = domain_code{ sign->domain() },
-                              .mAge = Milliseconds(sign->age_ms()) });
-  return beat;
+  peer_heartbeat heartbeat{ .mAnswer = aHeartbeat.wants_answer()
+                                         ? heartbeat_answer::Wanted
+                                         : heartbeat_answer::NotWanted,
+                            .mIsLeaving = aHeartbeat.leaving(),
+                            .mSentAt =
+                              instant{ duration{ aHeartbeat.sent_at_ns() } },
+                            .mApplied = log_offset{ aHeartbeat.applied() } };
+  if (aHeartbeat.echo_ns() != 0)
+    heartbeat.mEcho = instant{ duration{ aHeartbeat.echo_ns() } };
+  if (aHeartbeat.tail() != 0)
+    heartbeat.mTail =
+      tail_observation{ .mTail = log_offset{ aHeartbeat.tail() },
+                        .mAge = Milliseconds(aHeartbeat.tail_age_ms()) };
+  for (wire::DomainSign const* const observation : *aHeartbeat.domains())
+    heartbeat.mDomains.push_back(
+      { .mDomain = domain_code{ observation->domain() },
+        .mAge = Milliseconds(observation->age_ms()) });
+  return heartbeat;
 }
 
 peer_message
@@ -92,7 +96,7 @@
   return poison_notice{ .mFingerprint = DecodeDigest(*aNotice.fingerprint()),
                         .mServer = backend_server_id{ aNotice.server()->str() },
                         .mIncarnation = incarnation{ aNotice.incarnation() },
-                        .mLapse = Milliseconds(aNotice.lapse_ms()) };
+                        .mExpiresAfter = Milliseconds(aNotice.lapse_ms()) };
 }
 
 peer_message
@@ -148,7 +152,7 @@
     case wire::Body::NONE:
       break;
   }
-  // The verifier lets types pass that it doesn't know.
+  // The verifier accepts types that it doesn't know.
   return std::nullopt;
 }
 
@@ -157,8 +161,8 @@
 std::optional<peer_message>
 DecodePeerMessage(std::span<std::uint8_t const> aContent)
 {
-  // The content stands anywhere in a stream's bytes, so it is copied to where
-  // its numbers are aligned.
+  // The content may start at any address, so it is copied to memory where its
+  // numbers are aligned.
   std::vector<std::uint64_t> aligned(aContent.size() / kAlignment + 1);
   std::memcpy(aligned.data(), aContent.data(), aContent.size());
   auto const* const bytes =
--- a/Libraries/LibPeer/DialOptions.h
+++ b/Libraries/LibPeer/DialOptions.h
@@ -6,7 +6,7 @@
 
 namespace lycheeseam {
 
-/// The pauses between attempts to reach one peer.
+/// Limits of the backoff between attempts to dial a peer.
 struct dial_options
 {
   duration mMinBackoff = std::chrono::milliseconds{ 200 };
--- a/Libraries/LibPeer/DialSchedule.cpp
+++ b/Libraries/LibPeer/DialSchedule.cpp
@@ -11,7 +11,7 @@
 }
 
 void
-dial_schedule::SetWanted(std::span<peer_contact const> aContacts)
+dial_schedule::SetPeers(std::span<peer_contact const> aContacts)
 {
   std::map<endpoint, target> kept;
   for (peer_contact const& contact : aContacts) {
@@ -28,9 +28,9 @@
 {
   std::vector<peer_contact> due;
   for (auto& [address, entry] : mTargets) {
-    if (entry.mIsUnderWay || aNow < entry.mNotBefore)
+    if (entry.mIsActive || aNow < entry.mNotBefore)
       continue;
-    entry.mIsUnderWay = true;
+    entry.mIsActive = true;
     due.push_back(entry.mContact);
   }
   return due;
@@ -51,7 +51,7 @@
   if (found == mTargets.end())
     return;
   target& entry = found->second;
-  entry.mIsUnderWay = false;
+  entry.mIsActive = false;
   entry.mBackoff =
     std::clamp(2 * entry.mBackoff, mOptions.mMinBackoff, mOptions.mMaxBackoff);
   std::uniform_int_distribution<duration::rep> jitter{
--- a/Libraries/LibPeer/DialSchedule.h
+++ b/Libraries/LibPeer/DialSchedule.h
@@ -12,30 +12,30 @@
 
 namespace lycheeseam {
 
-/// Decides when a peer is dialled again: after a pause that doubles with each
-/// failure, with jitter, so that a herd doesn't return as one.
+/// Decides when each peer is dialled again: after a backoff that doubles with
+/// each failure, with jitter against a thundering herd.
 class dial_schedule
 {
 public:
   dial_schedule(dial_options aOptions, std::uint32_t aSeed);
 
-  /// Replaces the peers to reach; those that stay keep their pauses.
-  void SetWanted(std::span<peer_contact const> aContacts);
+  /// Replaces the peers to dial; those that stay keep their backoff.
+  void SetPeers(std::span<peer_contact const> aContacts);
 
-  /// The peers to dial now; each counts as under way until OnClosed.
+  /// The peers to dial now; each is active, so not due again, until OnClosed.
   [[nodiscard]] std::vector<peer_contact> TakeDue(instant aNow);
 
-  /// The link is up: the next failure starts from the shortest pause.
+  /// The link is up: the next failure starts from the shortest backoff.
   void OnUp(endpoint const& aAddress);
 
-  /// The attempt failed or the link ended.
+  /// The attempt failed or the link closed.
   void OnClosed(endpoint const& aAddress, instant aNow);
 
 private:
   struct target
   {
     peer_contact mContact;
-    bool mIsUnderWay = false;
+    bool mIsActive = false;
     duration mBackoff{};
     instant mNotBefore{};
   };
--- a/Libraries/LibPeer/DrainNotice.h
+++ b/Libraries/LibPeer/DrainNotice.h
@@ -4,10 +4,10 @@
 
 namespace lycheeseam {
 
-/// The sender is leaving: callers are no longer told of it.
+/// Announces that the sender is leaving: callers no longer get its address.
 struct drain_notice
 {
-  /// How long it still accepts callers who were told of it before.
+  /// How long it still accepts callers that have its address already.
   std::chrono::milliseconds mAcceptsFor{ 0 };
 
   bool operator==(drain_notice const&) const = default;
--- a/Libraries/LibPeer/EncodeBlockMessage.cpp
+++ b/Libraries/LibPeer/EncodeBlockMessage.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-// What stands for a count that isn't known yet.
+// The value of cached_tokens in updates sent before the answer.
 constexpr token_count kNoAnswerYet = -1;
 
 // Builds the table of each kind of message.
--- a/Libraries/LibPeer/EncodeBudgetMessage.cpp
+++ b/Libraries/LibPeer/EncodeBudgetMessage.cpp
@@ -94,23 +94,23 @@
                                 aProbe.mSentAt.time_since_epoch().count()));
   }
 
-  encoded_body operator()(quorum_answer const& aWord)
+  encoded_body operator()(quorum_answer const& aAnswer)
   {
     std::vector<std::uint64_t> slots;
-    for (slot_id const slot : aWord.mSlots)
+    for (slot_id const slot : aAnswer.mSlots)
       slots.push_back(slot.Value());
-    std::vector<std::string> silent;
-    for (instance_id const& instance : aWord.mUnresponsive)
-      silent.push_back(instance.Text());
+    std::vector<std::string> unresponsive;
+    for (instance_id const& instance : aAnswer.mUnresponsive)
+      unresponsive.push_back(instance.Text());
     return MakeBody(
       wire::Body::StandingWord,
       wire::CreateStandingWord(mBuilder,
-                               Identity(aWord.mFrom),
-                               Identity(aWord.mTo),
-                               aWord.mProbeSentAt.time_since_epoch().count(),
+                               Identity(aAnswer.mFrom),
+                               Identity(aAnswer.mTo),
+                               aAnswer.mProbeSentAt.time_since_epoch().count(),
                                mBuilder.CreateVector(slots),
-                               aWord.mFolded.Value(),
-                               mBuilder.CreateVectorOfStrings(silent)));
+                               aAnswer.mFolded.Value(),
+                               mBuilder.CreateVectorOfStrings(unresponsive)));
   }
 
 private:
--- a/Libraries/LibPeer/EncodeFleetMessage.cpp
+++ b/Libraries/LibPeer/EncodeFleetMessage.cpp
@@ -30,16 +30,16 @@
     for (crash_count const& crash : aReport.mCrashes)
       crashes.emplace_back(crash.mFingerprint, crash.mCount);
     std::vector<flatbuffers::Offset<wire::SeenWeights>> weights;
-    for (observed_weights const& seen : aReport.mWeights)
+    for (observed_weights const& observed : aReport.mWeights)
       weights.push_back(wire::CreateSeenWeights(mBuilder,
-                                                Text(seen.mServer.Text()),
-                                                seen.mIncarnation.Value(),
-                                                Text(seen.mModel.Text()),
-                                                seen.mVersion));
-    std::vector<flatbuffers::Offset<flatbuffers::String>> turning;
-    turning.reserve(aReport.mUpdating.size());
+                                                Text(observed.mServer.Text()),
+                                                observed.mIncarnation.Value(),
+                                                Text(observed.mModel.Text()),
+                                                observed.mVersion));
+    std::vector<flatbuffers::Offset<flatbuffers::String>> updating;
+    updating.reserve(aReport.mUpdating.size());
     for (backend_server_id const& server : aReport.mUpdating)
-      turning.push_back(Text(server.Text()));
+      updating.push_back(Text(server.Text()));
     std::vector<flatbuffers::Offset<wire::PrefixHolder>> holders;
     for (prefix_holder const& holder : aReport.mHolders)
       holders.push_back(wire::CreatePrefixHolder(
@@ -53,7 +53,7 @@
                               spent,
                               mBuilder.CreateVectorOfStructs(crashes),
                               mBuilder.CreateVector(weights),
-                              mBuilder.CreateVector(turning),
+                              mBuilder.CreateVector(updating),
                               mBuilder.CreateVector(holders),
                               used,
                               aReport.mOperatorsEnd));
@@ -68,7 +68,7 @@
       wire::Body::TopicRelay,
       wire::CreateTopicRelay(mBuilder,
                              static_cast<std::uint8_t>(aRelay.mTopic),
-                             aRelay.mIsWhole,
+                             aRelay.mIsSnapshot,
                              aRelay.mFrom,
                              aRelay.mEnd,
                              mBuilder.CreateVector(records)));
--- a/Libraries/LibPeer/EncodePeerMessage.cpp
+++ b/Libraries/LibPeer/EncodePeerMessage.cpp
@@ -26,10 +26,12 @@
 }
 
 std::uint32_t
-ShortMilliseconds(std::chrono::milliseconds aSpan)
+CappedMilliseconds(std::chrono::milliseconds aSpan)
 {
-  constexpr std::uint64_t kMost = std::numeric_limits<std::uint32_t>::max();
-  return static_cast<std::uint32_t>(std::min(Milliseconds(aSpan), kMost));
+  constexpr std::uint64_t kMaxMilliseconds =
+    std::numeric_limits<std::uint32_t>::max();
+  return static_cast<std::uint32_t>(
+    std::min(Milliseconds(aSpan), kMaxMilliseconds));
 }
 
 // Builds the table of each kind of message.
@@ -46,24 +48,25 @@
     return MakeBody(wire::Body::Hello, EncodeHello(mBuilder, aHello));
   }
 
-  encoded_body operator()(peer_heartbeat const& aBeat)
+  encoded_body operator()(peer_heartbeat const& aHeartbeat)
   {
     std::vector<wire::DomainSign> domains;
-    for (domain_observation const& sign : aBeat.mDomains)
-      domains.emplace_back(static_cast<std::uint32_t>(sign.mDomain.Value()),
-                           ShortMilliseconds(sign.mAge));
-    tail_observation const tail = aBeat.mTail.value_or(tail_observation{});
-    instant const echo = aBeat.mEcho.value_or(instant{});
+    for (domain_observation const& observation : aHeartbeat.mDomains)
+      domains.emplace_back(
+        static_cast<std::uint32_t>(observation.mDomain.Value()),
+        CappedMilliseconds(observation.mAge));
+    tail_observation const tail = aHeartbeat.mTail.value_or(tail_observation{});
+    instant const echo = aHeartbeat.mEcho.value_or(instant{});
     return MakeBody(
       wire::Body::Heartbeat,
       wire::CreateHeartbeat(mBuilder,
-                            aBeat.mAnswer == heartbeat_answer::Wanted,
-                            aBeat.mIsLeaving,
-                            aBeat.mSentAt.time_since_epoch().count(),
+                            aHeartbeat.mAnswer == heartbeat_answer::Wanted,
+                            aHeartbeat.mIsLeaving,
+                            aHeartbeat.mSentAt.time_since_epoch().count(),
                             echo.time_since_epoch().count(),
-                            aBeat.mApplied.Value(),
+                            aHeartbeat.mApplied.Value(),
                             tail.mTail.Value(),
-                            ShortMilliseconds(tail.mAge),
+                            CappedMilliseconds(tail.mAge),
                             mBuilder.CreateVectorOfStructs(domains)));
   }
 
@@ -105,12 +108,13 @@
   encoded_body operator()(poison_notice const& aNotice)
   {
     wire::Digest const fingerprint = EncodeDigest(aNotice.mFingerprint);
-    return MakeBody(wire::Body::PoisonNotice,
-                    wire::CreatePoisonNotice(mBuilder,
-                                             &fingerprint,
-                                             Text(aNotice.mServer.Text()),
-                                             aNotice.mIncarnation.Value(),
-                                             Milliseconds(aNotice.mLapse)));
+    return MakeBody(
+      wire::Body::PoisonNotice,
+      wire::CreatePoisonNotice(mBuilder,
+                               &fingerprint,
+                               Text(aNotice.mServer.Text()),
+                               aNotice.mIncarnation.Value(),
+                               Milliseconds(aNotice.mExpiresAfter)));
   }
 
   encoded_body operator()(drain_notice const& aNotice)
--- a/Libraries/LibPeer/EncodedBody.h
+++ b/Libraries/LibPeer/EncodedBody.h
@@ -4,14 +4,14 @@
 
 namespace lycheeseam {
 
-/// A body's table with the union's name of its type.
+/// A finished table with its type in the envelope's union.
 struct encoded_body
 {
   wire::Body mType = wire::Body::NONE;
   flatbuffers::Offset<void> mTable;
 };
 
-/// Names a finished table as a body of that type.
+/// Makes a body of a finished table; aType has to be the type of that table.
 template<typename Table>
 encoded_body
 MakeBody(wire::Body aType, flatbuffers::Offset<Table> aTable)
--- a/Libraries/LibPeer/EncodedFrame.h
+++ b/Libraries/LibPeer/EncodedFrame.h
@@ -6,8 +6,8 @@
 
 namespace lycheeseam {
 
-/// A frame ready to be sent, header included. A broadcast encodes once and
-/// shares it between links.
+/// A frame ready to be sent, header included. A broadcast encodes one frame
+/// and shares it between links.
 using encoded_frame = std::shared_ptr<std::vector<std::uint8_t> const>;
 
 }
--- a/Libraries/LibPeer/FleetMessage.h
+++ b/Libraries/LibPeer/FleetMessage.h
@@ -8,7 +8,8 @@
 
 namespace lycheeseam {
 
-/// Any message between instances whose state lies in the platform's store.
+/// Any message that is only sent between instances whose state lies in the
+/// platform's store.
 using fleet_message = std::variant<fleet_report, topic_relay, fleet_roster>;
 
 }
--- a/Libraries/LibPeer/FleetReport.h
+++ b/Libraries/LibPeer/FleetReport.h
@@ -12,30 +12,32 @@
 
 namespace lycheeseam {
 
-/// What an instance tells of itself and of those that it speaks for, a few
-/// times a second, and at once when it gives orders or saw newer weights.
+/// What an instance reports on behalf of the instances in mScope: sent a few
+/// times a second, and at once when it gives orders or observed newer weights.
 struct fleet_report
 {
   report_scope mScope = report_scope::Root;
-  /// The offset of the newest lease on orders among them; 0 without one.
+  /// The offset of the newest order lease that one of them holds; 0 if none.
   std::uint64_t mLease = 0;
-  /// The first of them by name that reads the store for all; empty for none.
+  /// The first of them by name that reads the store for all; empty if none.
   instance_id mReader;
-  /// What they admitted since the sender's start, so far as it heard.
+  /// What they admitted since the sender's start, as far as it received
+  /// reports.
   std::vector<workspace_usage> mSpent;
-  /// Servers lost by requests since the last report.
+  /// Requests whose servers crashed since the last report.
   std::vector<crash_count> mCrashes;
-  /// Weights seen since the last report.
+  /// Weights observed since the last report.
   std::vector<observed_weights> mWeights;
-  /// Servers that take no new work since that lease's holder turns them.
+  /// Servers that take no new requests because the holder of mLease updates
+  /// their weights.
   std::vector<backend_server_id> mUpdating;
-  /// Prompt parts that servers read since the last report.
+  /// Servers that read shared prompt parts since the last report.
   std::vector<prefix_holder> mHolders;
-  /// What all instances admitted in the quota window that ends now; empty
-  /// until the sender has counted for a whole window, and for a receiver that
-  /// can know it.
+  /// What all instances admitted in the quota window that ends now. Empty
+  /// until the sender has counted for a full window, and except on new links:
+  /// other receivers can count it themselves.
   std::vector<workspace_usage> mUsed;
-  /// The offset behind the last of the operators' records that the sender has.
+  /// The offset after the last of the operators' records that the sender has.
   std::uint64_t mOperatorsEnd = 0;
 
   bool operator==(fleet_report const&) const = default;
--- a/Libraries/LibPeer/FleetRoster.h
+++ b/Libraries/LibPeer/FleetRoster.h
@@ -6,7 +6,7 @@
 
 namespace lycheeseam {
 
-/// The instances that the sender's reports speak for; sent when they change.
+/// The instances on whose behalf the sender reports; sent when they change.
 struct fleet_roster
 {
   std::vector<roster_entry> mEntries;
--- a/Libraries/LibPeer/FrameFault.h
+++ b/Libraries/LibPeer/FrameFault.h
@@ -2,13 +2,13 @@
 
 namespace lycheeseam {
 
-/// Why bytes from a peer can't be used.
+/// Why the frames of a peer can't be read any further.
 enum class frame_fault
 {
   None,
   /// A frame without content.
   Empty,
-  /// A frame over the limit.
+  /// A frame with more content than the limit.
   Oversized,
   /// A frame that isn't a message of the protocol.
   Malformed,
--- a/Libraries/LibPeer/FrameReader.cpp
+++ b/Libraries/LibPeer/FrameReader.cpp
@@ -13,7 +13,7 @@
 {
   if (mFault != frame_fault::None)
     return;
-  DropRead();
+  DiscardConsumed();
   mBytes.insert(mBytes.end(), aBytes.begin(), aBytes.end());
 }
 
@@ -21,7 +21,7 @@
 frame_reader::Next()
 {
   std::span<std::uint8_t const> const unread =
-    std::span{ mBytes }.subspan(mReadUpTo);
+    std::span{ mBytes }.subspan(mConsumedBytes);
   if (mFault != frame_fault::None || unread.size() < kFrameHeaderBytes)
     return std::nullopt;
   std::size_t const length =
@@ -34,24 +34,25 @@
     return std::nullopt;
   if (unread.size() - kFrameHeaderBytes < length)
     return std::nullopt;
-  mReadUpTo += kFrameHeaderBytes + length;
+  mConsumedBytes += kFrameHeaderBytes + length;
   return unread.subspan(kFrameHeaderBytes, length);
 }
 
 void
-frame_reader::DropRead()
+frame_reader::DiscardConsumed()
 {
-  if (mReadUpTo == mBytes.size()) {
-    // A large frame must not hold its memory for the rest of the link's life.
-    constexpr std::size_t kKeptCapacity = 1 << 16;
-    if (mBytes.capacity() > kKeptCapacity)
+  if (mConsumedBytes == mBytes.size()) {
+    // Frees the buffer of a large frame, which would otherwise stay allocated
+    // until the link closes.
+    constexpr std::size_t kMaxKeptBytes = 1 << 16;
+    if (mBytes.capacity() > kMaxKeptBytes)
       mBytes = {};
     mBytes.clear();
   } else {
     mBytes.erase(mBytes.begin(),
-                 mBytes.begin() + static_cast<std::ptrdiff_t>(mReadUpTo));
+                 mBytes.begin() + static_cast<std::ptrdiff_t>(mConsumedBytes));
   }
-  mReadUpTo = 0;
+  mConsumedBytes = 0;
 }
 
 }
--- a/Libraries/LibPeer/HelloCodec.h
+++ b/Libraries/LibPeer/HelloCodec.h
@@ -4,7 +4,8 @@
 
 #include <PeerMessage_generated.h>
 
-/// \file Who an instance is, as a table of its own and within others.
+/// \file Encodes and decodes peer_hello, which is a message of its own and a
+/// part of roster entries.
 
 namespace lycheeseam {
 
--- a/Libraries/LibPeer/HelloDecision.h
+++ b/Libraries/LibPeer/HelloDecision.h
@@ -8,16 +8,16 @@
 
 namespace lycheeseam {
 
-/// What a link's hello leads to.
+/// What a link table decides when a hello arrives on a link.
 struct hello_decision
 {
-  /// Set when the link is refused; nothing else holds then.
+  /// Set when the link is refused; the other members are not set then.
   std::optional<link_close_reason> mRefused;
-  /// Another link that gives way to this one.
+  /// The peer's earlier link, which is to be closed.
   std::optional<link_number> mReplaced;
-  /// The life that ended, when the link is from a newer one.
+  /// The peer's earlier incarnation, when this link is from a newer one.
   std::optional<instance_identity> mEnded;
-  /// The peer's life had no link before.
+  /// The peer's incarnation had no link until now.
   bool mIsNew = false;
 };
 
--- a/Libraries/LibPeer/KeyWithdrawal.h
+++ b/Libraries/LibPeer/KeyWithdrawal.h
@@ -5,13 +5,13 @@
 
 namespace lycheeseam {
 
-/// A key stops working now, also while the log is out. Receivers refuse the
-/// key until the log gives it anew.
+/// Withdraws a key at once, even during an outage of the log. Receivers refuse
+/// the key until a record of the log adds it again.
 struct key_withdrawal
 {
   digest mKey;
-  /// The state of the log on which the operator withdrew the key; a record
-  /// beyond this offset that gives the key again ends the withdrawal.
+  /// The offset that the log's state had reached when the operator withdrew the
+  /// key; a record beyond it that adds the key again ends the withdrawal.
   log_offset mOffset;
 
   bool operator==(key_withdrawal const&) const = default;
--- a/Libraries/LibPeer/LinkCloseReason.h
+++ b/Libraries/LibPeer/LinkCloseReason.h
@@ -4,33 +4,33 @@
 
 namespace lycheeseam {
 
-/// Why a link ended.
+/// Why a link closed.
 enum class link_close_reason
 {
-  /// The peer closed it, or the network broke it.
+  /// The peer closed the connection, or the network failed.
   Disconnected,
   ConnectFailed,
-  /// No hello in time.
+  /// No hello arrived within the time limit.
   HelloTimeout,
   EmptyFrame,
   OversizedFrame,
   MalformedFrame,
-  /// A hello where none belongs, or another message before it.
+  /// A second hello, or another message before the hello.
   UnexpectedMessage,
   WrongVersion,
   /// The peer is this process itself.
   Self,
-  /// The hello is from an older life than one that was seen.
+  /// The hello is from an older incarnation than an earlier hello.
   OlderIncarnation,
-  /// Another link to the same life stays.
+  /// Another link to the same incarnation is kept.
   Duplicate,
-  /// A newer life of the peer has a link.
+  /// A newer incarnation of the peer has a link.
   Superseded,
-  /// The peer gave no sign of life.
-  Silent,
+  /// Nothing that the link's supervisor counts arrived within its time limit.
+  Unresponsive,
   /// This process is stopping.
   Stopped,
-  /// This process has no more use for the link.
+  /// This process no longer needs the link.
   Released,
 };
 
--- a/Libraries/LibPeer/LinkNumber.h
+++ b/Libraries/LibPeer/LinkNumber.h
@@ -4,7 +4,7 @@
 
 namespace lycheeseam {
 
-/// Tells the links of one process apart; never used again.
+/// Identifies a link within one process; never reused.
 using link_number = ordinal<struct link_tag>;
 
 }
--- a/Libraries/LibPeer/LinkTable.cpp
+++ b/Libraries/LibPeer/LinkTable.cpp
@@ -35,7 +35,7 @@
 
   hello_decision decision;
   if (state.mLink && aHello.mIdentity.mIncarnation == state.mNewest) {
-    if (!GivesWay(state, aDirection, peer))
+    if (!IsReplaced(state, aDirection, peer))
       return Refuse(link_close_reason::Duplicate);
   } else {
     decision.mIsNew = true;
@@ -85,11 +85,11 @@
 
 // When both ends dial at once, both must keep the same link: the one that the
 // instance with the lesser name dialled. A second link in the same direction
-// means that the peer gave the first one up.
+// means that the end which dialled has given up the first one.
 bool
-link_table::GivesWay(peer_state const& aState,
-                     link_direction aDirection,
-                     instance_id const& aPeer) const
+link_table::IsReplaced(peer_state const& aState,
+                       link_direction aDirection,
+                       instance_id const& aPeer) const
 {
   if (aState.mDirection == aDirection)
     return true;
--- a/Libraries/LibPeer/LinkTable.h
+++ b/Libraries/LibPeer/LinkTable.h
@@ -14,7 +14,7 @@
 namespace lycheeseam {
 
 /// Decides which link carries each peer's messages: one for each instance,
-/// to its newest life.
+/// to its newest incarnation.
 class link_table
 {
 public:
@@ -25,7 +25,7 @@
                          link_direction aDirection,
                          peer_hello const& aHello);
 
-  /// A link ended; the life that has no link any more, if any.
+  /// A link closed; returns the identity that has no link any more, if any.
   std::optional<instance_identity> OnClosed(link_number aLink);
 
   /// The link to an instance, if one is up.
@@ -42,13 +42,13 @@
     link_direction mDirection = link_direction::Dialled;
   };
 
-  [[nodiscard]] bool GivesWay(peer_state const& aState,
-                              link_direction aDirection,
-                              instance_id const& aPeer) const;
+  [[nodiscard]] bool IsReplaced(peer_state const& aState,
+                                link_direction aDirection,
+                                instance_id const& aPeer) const;
 
   instance_identity mSelf;
-  // FIXME: An instance that never comes back stays here; its name and number
-  // are kept so that a late message of its last life stays known as one.
+  // FIXME: An instance that never comes back is never removed. Its name and
+  // incarnation are kept to recognise a late hello of an older incarnation.
   std::map<instance_id, peer_state> mPeers;
 };
 
--- a/Libraries/LibPeer/LogRelay.h
+++ b/Libraries/LibPeer/LogRelay.h
@@ -6,8 +6,8 @@
 
 namespace lycheeseam {
 
-/// Entries of the log in order, passed on so that few instances poll the
-/// log.
+/// Entries of the log in order, passed on to peers so that only a few instances
+/// have to poll the log.
 struct log_relay
 {
   std::vector<relayed_entry> mEntries;
--- a/Libraries/LibPeer/PeerCodec.h
+++ b/Libraries/LibPeer/PeerCodec.h
@@ -9,12 +9,13 @@
 
 namespace lycheeseam {
 
-/// Encodes a message as one frame. (FlatBuffers, Schema/PeerMessage.fbs.)
+/// Encodes a message as one frame, by the FlatBuffers schema
+/// Schema/PeerMessage.fbs.
 encoded_frame
 EncodePeerMessage(peer_message const& aMessage);
 
 /// Decodes a frame's content; nothing when it isn't a valid message. Never
-/// reads outside of the content, whatever that holds.
+/// reads outside of the content, whatever its bytes are.
 std::optional<peer_message>
 DecodePeerMessage(std::span<std::uint8_t const> aContent);
 
--- a/Libraries/LibPeer/PeerConnection.h
+++ b/Libraries/LibPeer/PeerConnection.h
@@ -19,8 +19,9 @@
 
 namespace lycheeseam {
 
-/// Frames over one TCP connection. Owner hears OnConnected, OnFrame and, once
-/// at the end, OnConnectionClosed. Runs on the control thread alone.
+/// Sends and receives frames over one TCP connection. Calls the owner's
+/// OnConnected, OnFrame and, once at the end, OnConnectionClosed. Runs on the
+/// control thread alone.
 template<typename Owner>
 class peer_connection
   : public std::enable_shared_from_this<peer_connection<Owner>>
@@ -73,8 +74,8 @@
     return result;
   }
 
-  /// Ends the connection; frames not yet read are dropped. The owner hears of
-  /// it, but for Detach.
+  /// Closes the connection and reports it to the owner, unless it is closed or
+  /// detached already; frames not yet read are dropped.
   void Close(link_close_reason aReason)
   {
     if (!mOwner)
@@ -85,7 +86,7 @@
     owner->OnConnectionClosed(mNumber, aReason);
   }
 
-  /// Ends the connection without telling the owner, which is going away.
+  /// Closes the connection without a call to the owner, whose destructor runs.
   void Detach()
   {
     mOwner = nullptr;
@@ -151,7 +152,7 @@
   send_queue mQueue;
   std::vector<encoded_frame> mWriting;
   std::array<std::uint8_t, kReadBytes> mReadBuffer{};
-  /// Null once closed.
+  /// Null once closed or detached.
   Owner* mOwner;
 };
 
--- a/Libraries/LibPeer/PeerContact.h
+++ b/Libraries/LibPeer/PeerContact.h
@@ -9,7 +9,7 @@
 struct peer_contact
 {
   endpoint mAddress;
-  /// Empty for a peer to start from, which is known by its address alone.
+  /// Empty for a bootstrap peer, of which only the address is known.
   instance_id mInstance;
 
   bool operator==(peer_contact const&) const = default;
--- a/Libraries/LibPeer/PeerCounters.h
+++ b/Libraries/LibPeer/PeerCounters.h
@@ -7,7 +7,7 @@
 
 namespace lycheeseam {
 
-/// What happened on all links since the start.
+/// Counts over all links since the process started.
 struct peer_counters
 {
   std::uint64_t mDialled = 0;
@@ -16,9 +16,9 @@
   std::uint64_t mBytesSent = 0;
   std::uint64_t mFramesReceived = 0;
   std::uint64_t mBytesReceived = 0;
-  /// Messages dropped since a queue was full or the message too large.
+  /// Messages dropped because a queue was full or the message too large.
   std::uint64_t mDropped = 0;
-  /// Ended links, by link_close_reason.
+  /// Closed links, by link_close_reason.
   std::array<std::uint64_t, kLinkCloseReasons> mClosed{};
 };
 
--- a/Libraries/LibPeer/PeerHandler.h
+++ b/Libraries/LibPeer/PeerHandler.h
@@ -7,8 +7,8 @@
 
 namespace lycheeseam {
 
-/// Whom a peer_hub tells what comes from peers. A life of a peer is up from
-/// OnPeerUp to OnPeerDown; messages come in between only.
+/// Receives what a peer_hub gets from peers. An incarnation of a peer is linked
+/// from OnPeerUp to OnPeerDown; its messages arrive only in between.
 template<typename Handler>
 concept peer_handler = requires(Handler& aHandler,
                                 peer_hello const& aHello,
--- a/Libraries/LibPeer/PeerHeartbeat.h
+++ b/Libraries/LibPeer/PeerHeartbeat.h
@@ -11,7 +11,8 @@
 
 namespace lycheeseam {
 
-/// A sign of life with what its sender knows of the log and of others.
+/// Shows that its sender is running, with what the sender knows of the log and
+/// of failure domains.
 struct peer_heartbeat
 {
   heartbeat_answer mAnswer = heartbeat_answer::NotWanted;
@@ -19,7 +20,7 @@
   /// When it was sent, by the sender's clock; set by the link.
   instant mSentAt{};
   /// The mSentAt of the last heartbeat that the sender had received on the
-  /// link, by the receiver's clock; set by the link.
+  /// link, so by the receiver's clock; set by the link.
   std::optional<instant> mEcho;
   /// The sender has applied every entry up to this one.
   log_offset mApplied;
--- a/Libraries/LibPeer/PeerHello.h
+++ b/Libraries/LibPeer/PeerHello.h
@@ -19,7 +19,7 @@
   endpoint mCallers;
   /// Where peers reach the sender.
   endpoint mPeers;
-  /// Of its processor, in thousandths of a core; 0 when it isn't told.
+  /// The sender's CPU capacity, in thousandths of a core; 0 when not given.
   std::uint32_t mCapacity = 0;
 
   bool operator==(peer_hello const&) const = default;
--- a/Libraries/LibPeer/PeerHub.h
+++ b/Libraries/LibPeer/PeerHub.h
@@ -21,19 +21,19 @@
 
 namespace lycheeseam {
 
-/// The TCP links of one process to its peers: dials those that are wanted,
-/// accepts others, and keeps one link for each. Runs on the control thread
-/// alone, whose io_context it is given. It is a peer_transport.
+/// The TCP links of one process to its peers: dials the peers that it is given,
+/// accepts links from others, and keeps one link for each. Runs on the control
+/// thread alone, whose io_context it is given. It is a peer_transport.
 ///
-/// Handler is a peer_handler, and may be the class that holds the hub.
-/// Supervisor is made for each link by a function of the link's first moment.
+/// Handler is a peer_handler, and may be the class that holds the hub. Each
+/// link gets a Supervisor of its own, made with the time when the link opens.
 template<typename Handler, link_supervisor Supervisor, clock_source Clock>
 class peer_hub
 {
 public:
   using tcp = boost::asio::ip::tcp;
   using make_supervisor = std::function<Supervisor(instant)>;
-  /// Makes the heartbeat to send, with what this process knows by then.
+  /// Makes the heartbeat to send, with what this process knows at the call.
   using make_heartbeat = std::function<peer_heartbeat()>;
 
   peer_hub(boost::asio::io_context& aContext,
@@ -47,14 +47,15 @@
   peer_hub(peer_hub const&) = delete;
   peer_hub& operator=(peer_hub const&) = delete;
 
-  /// Accepts links from now on. Throws error when the address is taken.
+  /// Accepts links from now on. Throws error when it can't listen on the
+  /// address.
   void Listen(endpoint const& aAddress);
 
-  /// Starts the tick that dials and supervises.
+  /// Starts the timer that dials peers and supervises links.
   void Start();
 
   /// Replaces the peers to keep links to.
-  void SetWanted(std::span<peer_contact const> aContacts);
+  void SetPeers(std::span<peer_contact const> aContacts);
 
   /// Queues a message to one peer.
   send_result Send(instance_id const& aPeer, peer_message const& aMessage);
@@ -70,13 +71,13 @@
   /// Closes the link to a peer, if there is one.
   void Release(instance_id const& aPeer);
 
-  /// Closes all links and accepts none; the handler hears of each.
+  /// Closes all links and accepts none; reports each to the handler.
   void Stop();
 
   /// The port that Listen bound; 0 before.
   [[nodiscard]] std::uint16_t Port() const;
 
-  /// What happened so far.
+  /// The counts so far.
   [[nodiscard]] peer_counters const& Counters() const noexcept
   {
     return mCounters;
@@ -97,7 +98,7 @@
     /// Where the link was dialled to.
     std::optional<endpoint> mDialled;
     instant mOpenedAt{};
-    /// Who the peer is, from its hello on.
+    /// Set once the hello of the peer has arrived.
     std::optional<instance_identity> mPeer;
     /// When the peer sent its last heartbeat, by its own clock.
     std::optional<instant> mPeerSentAt;
--- a/Libraries/LibPeer/PeerHubImplementation.h
+++ b/Libraries/LibPeer/PeerHubImplementation.h
@@ -8,7 +8,7 @@
 #include <utility>
 #include <vector>
 
-/// \file The members of peer_hub that open, watch and close links.
+/// \file The members of peer_hub that open, supervise and close links.
 
 namespace lycheeseam {
 
@@ -70,10 +70,10 @@
 
 template<typename Handler, link_supervisor Supervisor, clock_source Clock>
 void
-peer_hub<Handler, Supervisor, Clock>::SetWanted(
+peer_hub<Handler, Supervisor, Clock>::SetPeers(
   std::span<peer_contact const> aContacts)
 {
-  mDials.SetWanted(aContacts);
+  mDials.SetPeers(aContacts);
 }
 
 template<typename Handler, link_supervisor Supervisor, clock_source Clock>
@@ -133,7 +133,7 @@
 {
   for (peer_contact const& contact : mDials.TakeDue(aNow)) {
     if (IsLinkedTo(contact)) {
-      // Looked at again after the shortest pause, in case the link ends.
+      // Checked again after the shortest backoff, in case that link closes.
       mDials.OnUp(contact.mAddress);
       mDials.OnClosed(contact.mAddress, aNow);
       continue;
@@ -147,18 +147,18 @@
 void
 peer_hub<Handler, Supervisor, Clock>::CheckLinks(instant aNow)
 {
-  // Closing a link changes the map, so the numbers are taken first.
-  std::vector<link_number> silent;
-  std::vector<link_number> late;
+  // Closing a link changes the map, so the numbers are collected first.
+  std::vector<link_number> unresponsive;
+  std::vector<link_number> withoutHello;
   for (auto& [number, state] : mLinks) {
     if (!state.mPeer) {
       if (aNow - state.mOpenedAt >= mOptions.mHelloTimeout)
-        late.push_back(number);
+        withoutHello.push_back(number);
       continue;
     }
     link_check const check = state.mSupervisor.Check(aNow);
     if (check == link_check::Dead)
-      silent.push_back(number);
+      unresponsive.push_back(number);
     if (check != link_check::Beat && check != link_check::Ping)
       continue;
     SendHeartbeat(number,
@@ -166,10 +166,10 @@
                   check == link_check::Ping ? heartbeat_answer::Wanted
                                             : heartbeat_answer::NotWanted);
   }
-  for (link_number const link : late)
+  for (link_number const link : withoutHello)
     CloseLink(link, link_close_reason::HelloTimeout);
-  for (link_number const link : silent)
-    CloseLink(link, link_close_reason::Silent);
+  for (link_number const link : unresponsive)
+    CloseLink(link, link_close_reason::Unresponsive);
 }
 
 template<typename Handler, link_supervisor Supervisor, clock_source Clock>
--- a/Libraries/LibPeer/PeerHubMessages.h
+++ b/Libraries/LibPeer/PeerHubMessages.h
@@ -67,11 +67,11 @@
   if (!message)
     return CloseLink(aLink, link_close_reason::MalformedFrame);
   peer_hello const* const hello = std::get_if<peer_hello>(&*message);
-  bool const belongs = (hello != nullptr) == !state.mPeer.has_value();
-  if (!belongs)
+  bool const isExpected = (hello != nullptr) == !state.mPeer.has_value();
+  if (!isExpected)
     return CloseLink(aLink, link_close_reason::UnexpectedMessage);
-  // Where freshness rests on what heartbeats carry, they must go on also on a
-  // link that other messages keep busy.
+  // A supervisor that counts heartbeats alone needs what they carry to stay
+  // fresh, so other messages on a busy link must not replace them.
   if (Supervisor::kCountsAllTraffic ||
       std::holds_alternative<peer_heartbeat>(*message))
     state.mSupervisor.OnReceived(mClock.Now());
@@ -110,12 +110,13 @@
                                                 link_state& aState,
                                                 peer_message& aMessage)
 {
-  // The handler may close links, so the peer's life is copied first.
+  // The handler may close links, so the peer's identity is copied first.
   instance_identity const peer = *aState.mPeer;
-  peer_heartbeat const* const beat = std::get_if<peer_heartbeat>(&aMessage);
-  if (beat)
-    aState.mPeerSentAt = beat->mSentAt;
-  if (beat && beat->mAnswer == heartbeat_answer::Wanted)
+  peer_heartbeat const* const heartbeat =
+    std::get_if<peer_heartbeat>(&aMessage);
+  if (heartbeat)
+    aState.mPeerSentAt = heartbeat->mSentAt;
+  if (heartbeat && heartbeat->mAnswer == heartbeat_answer::Wanted)
     SendHeartbeat(aLink, aState, heartbeat_answer::NotWanted);
   mHandler.OnPeerMessage(peer, aMessage);
 }
@@ -126,11 +127,11 @@
                                                     link_state const& aState,
                                                     heartbeat_answer aAnswer)
 {
-  peer_heartbeat beat = mMakeHeartbeat();
-  beat.mAnswer = aAnswer;
-  beat.mSentAt = mClock.Now();
-  beat.mEcho = aState.mPeerSentAt;
-  SendFrame(aLink, EncodePeerMessage(beat));
+  peer_heartbeat heartbeat = mMakeHeartbeat();
+  heartbeat.mAnswer = aAnswer;
+  heartbeat.mSentAt = mClock.Now();
+  heartbeat.mEcho = aState.mPeerSentAt;
+  SendFrame(aLink, EncodePeerMessage(heartbeat));
 }
 
 template<typename Handler, link_supervisor Supervisor, clock_source Clock>
--- a/Libraries/LibPeer/PeerHubOptions.h
+++ b/Libraries/LibPeer/PeerHubOptions.h
@@ -9,17 +9,17 @@
 
 namespace lycheeseam {
 
-/// Bounds and intervals of the links of one process.
+/// Limits and intervals of the links of one process.
 struct peer_hub_options
 {
   std::size_t mMaxFrameBytes = 16 << 20;
   std::size_t mMaxQueueBytes = 32 << 20;
-  /// From the start of a connection to the peer's hello.
+  /// Limit from the opening of a connection to the peer's hello.
   duration mHelloTimeout = std::chrono::seconds{ 2 };
-  /// Between two looks at dials and at quiet links.
+  /// Interval between checks for due dials and unresponsive links.
   std::chrono::milliseconds mTick{ 100 };
   dial_options mDial;
-  /// Of the jitter between dials.
+  /// Seed of the jitter of dial backoffs.
   std::uint32_t mSeed = 0;
 };
 
--- a/Libraries/LibPeer/PeerTransport.h
+++ b/Libraries/LibPeer/PeerTransport.h
@@ -8,7 +8,8 @@
 
 namespace lycheeseam {
 
-/// Carries messages to peers: TCP links, or a test's network in virtual time.
+/// Sends messages to peers: over TCP links, or in a test over a network in
+/// virtual time.
 template<typename Transport>
 concept peer_transport = requires(Transport& aTransport,
                                   instance_id const& aPeer,
--- a/Libraries/LibPeer/PoisonNotice.h
+++ b/Libraries/LibPeer/PoisonNotice.h
@@ -7,16 +7,16 @@
 
 namespace lycheeseam {
 
-/// A request was running on a backend server when that crashed. Notices of
-/// the same life of a server count once.
+/// Reports that a request was running on a backend server when the server
+/// crashed. Notices of the same incarnation of a server count once.
 struct poison_notice
 {
-  /// Of the request's workspace and body.
+  /// The hash of the request's workspace and body.
   digest mFingerprint;
   backend_server_id mServer;
   incarnation mIncarnation;
   /// How long the notice counts.
-  std::chrono::milliseconds mLapse{ 0 };
+  std::chrono::milliseconds mExpiresAfter{ 0 };
 
   bool operator==(poison_notice const&) const = default;
 };
--- a/Libraries/LibPeer/ReportScope.h
+++ b/Libraries/LibPeer/ReportScope.h
@@ -4,8 +4,9 @@
 
 namespace lycheeseam {
 
-/// Whom a report speaks for, and so where its sender stands to its receiver.
-/// A branch is an instance with all those that report through it.
+/// The instances that a report covers, and so the sender's position in the
+/// reporting tree relative to the receiver. A branch is an instance with all
+/// instances that report through it.
 enum class report_scope : std::uint8_t
 {
   /// The sender's branch, from one root to another.
--- a/Libraries/LibPeer/RosterEntry.h
+++ b/Libraries/LibPeer/RosterEntry.h
@@ -4,11 +4,11 @@
 
 namespace lycheeseam {
 
-/// An instance that lives, and what it does for callers.
+/// A running instance and whether it serves callers.
 struct roster_entry
 {
   peer_hello mHello;
-  /// It has a configuration and takes callers.
+  /// It has a configuration and accepts callers.
   bool mIsReady = false;
   /// Its planned stop has begun.
   bool mIsLeaving = false;
--- a/Libraries/LibPeer/SendQueue.h
+++ b/Libraries/LibPeer/SendQueue.h
@@ -15,14 +15,14 @@
 public:
   explicit send_queue(std::size_t aMaxBytes);
 
-  /// Adds a frame, or refuses it when the bound would be passed.
+  /// Adds a frame, or refuses it when that would exceed the bound.
   send_result Push(encoded_frame aFrame);
 
   /// Takes frames to be written together; empty when none wait. They count
   /// against the bound until OnWritten.
   [[nodiscard]] std::vector<encoded_frame> TakeBatch();
 
-  /// The frames taken last are on their way.
+  /// The frames taken last have been written.
   void OnWritten();
 
   /// The bytes that wait or are being written.
--- a/Libraries/LibPeer/SendResult.h
+++ b/Libraries/LibPeer/SendResult.h
@@ -2,16 +2,16 @@
 
 namespace lycheeseam {
 
-/// What became of a message given to a link. Queued is no promise that it
-/// arrives.
+/// Whether a link accepted a message to send. A queued message may still be
+/// lost.
 enum class send_result
 {
   Queued,
   /// No link to that peer is up.
   NotLinked,
-  /// The link has more to send than its bound; the message was dropped.
+  /// The link's queue has no room for the message, which was dropped.
   QueueFull,
-  /// The message is larger than a frame may be.
+  /// The message is larger than a frame may be, and was dropped.
   TooLarge,
 };
 
--- a/Libraries/LibPeer/SnapshotAnswer.h
+++ b/Libraries/LibPeer/SnapshotAnswer.h
@@ -13,7 +13,7 @@
   snapshot_number mNumber;
   /// Every entry up to this one is in the state.
   log_offset mOffset;
-  /// Empty when the sender has nothing to give yet.
+  /// Empty when the sender has no folded state yet.
   std::string mState;
 
   bool operator==(snapshot_answer const&) const = default;
--- a/Libraries/LibPeer/SnapshotNumber.h
+++ b/Libraries/LibPeer/SnapshotNumber.h
@@ -4,7 +4,7 @@
 
 namespace lycheeseam {
 
-/// Tells the snapshot requests of one instance apart.
+/// Identifies a snapshot request among those of one instance.
 using snapshot_number = ordinal<struct snapshot_tag>;
 
 }
--- a/Libraries/LibPeer/SnapshotRequest.h
+++ b/Libraries/LibPeer/SnapshotRequest.h
@@ -4,7 +4,7 @@
 
 namespace lycheeseam {
 
-/// Asks a peer for its folded state of the log.
+/// Requests the folded state of the log from a peer.
 struct snapshot_request
 {
   snapshot_number mNumber;
--- a/Libraries/LibPeer/TopicRelay.h
+++ b/Libraries/LibPeer/TopicRelay.h
@@ -15,10 +15,10 @@
   store_topic mTopic = store_topic::Operators;
   /// The records are the newest of each key, rather than all that were
   /// appended.
-  bool mIsWhole = false;
-  /// The offset from which on these are all records.
+  bool mIsSnapshot = false;
+  /// The offset from which on no record is left out.
   std::uint64_t mFrom = 0;
-  /// The offset behind the last of them.
+  /// The offset after the last of them.
   std::uint64_t mEnd = 0;
   std::vector<keyed_record> mRecords;
 
--- a/Libraries/LibRouter/ControlCoreMembers.cpp
+++ b/Libraries/LibRouter/ControlCoreMembers.cpp
@@ -66,7 +66,7 @@
     if (!isKnown)
       contacts.push_back({ .mAddress = peer });
   }
-  mHub.SetWanted(contacts);
+  mHub.SetPeers(contacts);
   mStatus.SetLinked(std::move(chosen));
 }
 
--- a/Tests/LibPeer/HubPeer.h
+++ b/Tests/LibPeer/HubPeer.h
@@ -12,7 +12,7 @@
 
 namespace lycheeseam {
 
-/// A peer_hub on loopback that notes what it hears, but for heartbeats.
+/// A peer_hub on loopback that records all that it receives but heartbeats.
 class hub_peer
 {
 public:
@@ -63,9 +63,9 @@
     return { .mAddress = { .mAddress = "127.0.0.1", .mPort = mHub.Port() } };
   }
 
-  void Want(peer_contact const& aContact)
+  void SetPeer(peer_contact const& aContact)
   {
-    mHub.SetWanted(std::span{ &aContact, 1 });
+    mHub.SetPeers(std::span{ &aContact, 1 });
   }
 
   void OnPeerUp(peer_hello const& aHello) { mUp.push_back(aHello.mIdentity); }
--- a/Tests/LibPeer/TestFrameReader.cpp
+++ b/Tests/LibPeer/TestFrameReader.cpp
@@ -29,7 +29,7 @@
   return frames;
 }
 
-TEST(TestFrameReader, CutsTheSameFramesFromAnyPieces)
+TEST(TestFrameReader, ReadsTheSameFramesFromAnyChunks)
 {
   rc::check([]() {
     auto const content =
@@ -42,8 +42,8 @@
     std::vector<bytes> found;
     std::span<std::uint8_t const> rest{ stream };
     while (!rest.empty()) {
-      std::size_t const piece = *rc::gen::inRange<std::size_t>(1, 20);
-      std::size_t const length = std::min(piece, rest.size());
+      std::size_t const chunk = *rc::gen::inRange<std::size_t>(1, 20);
+      std::size_t const length = std::min(chunk, rest.size());
       reader.Append(rest.first(length));
       rest = rest.subspan(length);
       for (bytes& frame : ReadAll(reader))
@@ -54,12 +54,12 @@
   });
 }
 
-TEST(TestFrameReader, NeverPassesItsLimitOnAnyBytes)
+TEST(TestFrameReader, ArbitraryBytesNeverYieldAFrameBeyondTheLimit)
 {
-  rc::check([](std::vector<bytes> const& aPieces) {
+  rc::check([](std::vector<bytes> const& aChunks) {
     frame_reader reader{ kMaxBytes };
-    for (bytes const& piece : aPieces) {
-      reader.Append(piece);
+    for (bytes const& chunk : aChunks) {
+      reader.Append(chunk);
       for (bytes const& frame : ReadAll(reader))
         RC_ASSERT(!frame.empty() && frame.size() <= kMaxBytes);
     }
--- a/Tests/LibPeer/TestLinkTable.cpp
+++ b/Tests/LibPeer/TestLinkTable.cpp
@@ -21,19 +21,19 @@
 constexpr link_number kFirst{ 1 };
 constexpr link_number kSecond{ 2 };
 
-TEST(TestLinkTable, RefusesOlderLives)
+TEST(TestLinkTable, RefusesAnOlderIncarnation)
 {
   link_table table{ Identity("b", 1) };
   EXPECT_TRUE(
     table.OnHello(kFirst, link_direction::Accepted, Hello("c", 5)).mIsNew);
   EXPECT_EQ(table.OnClosed(kFirst), Identity("c", 5));
-  hello_decision const late =
+  hello_decision const older =
     table.OnHello(kSecond, link_direction::Accepted, Hello("c", 4));
-  EXPECT_EQ(late.mRefused, link_close_reason::OlderIncarnation);
+  EXPECT_EQ(older.mRefused, link_close_reason::OlderIncarnation);
   EXPECT_FALSE(table.Find(instance_id{ "c" }).has_value());
 }
 
-TEST(TestLinkTable, ANewerLifeEndsTheOlderOne)
+TEST(TestLinkTable, NewerIncarnationEndsTheOlderOne)
 {
   link_table table{ Identity("b", 1) };
   table.OnHello(kFirst, link_direction::Accepted, Hello("c", 5));
@@ -46,8 +46,9 @@
   EXPECT_EQ(table.Find(instance_id{ "c" }), kSecond);
 }
 
-// Both ends dial at once; the hellos come in either order at each end.
-TEST(TestLinkTable, BothEndsKeepTheSameLink)
+// Both ends dial at once, and the hellos arrive in either order at each end. If
+// the ends kept different links, each would close the link of the other.
+TEST(TestLinkTable, BothEndsKeepTheSameLinkWhenBothDial)
 {
   for (int order = 0; order < 4; ++order) {
     link_table lesser{ Identity("a", 1) };
@@ -75,18 +76,20 @@
   }
 }
 
-TEST(TestLinkTable, ADialThatReturnsReplacesAHalfOpenLink)
+// A peer whose end of a link has closed dials again, while this end has not yet
+// noticed that the link is dead.
+TEST(TestLinkTable, SecondDialOfAPeerReplacesItsHalfOpenLink)
 {
   link_table table{ Identity("a", 1) };
   table.OnHello(kFirst, link_direction::Accepted, Hello("b", 1));
-  hello_decision const again =
+  hello_decision const second =
     table.OnHello(kSecond, link_direction::Accepted, Hello("b", 1));
-  EXPECT_FALSE(again.mRefused.has_value());
-  EXPECT_FALSE(again.mIsNew);
-  EXPECT_EQ(again.mReplaced, kFirst);
+  EXPECT_FALSE(second.mRefused.has_value());
+  EXPECT_FALSE(second.mIsNew);
+  EXPECT_EQ(second.mReplaced, kFirst);
 }
 
-TEST(TestLinkTable, RefusesItselfAndOtherVersions)
+TEST(TestLinkTable, RefusesItsOwnInstanceAndOtherVersions)
 {
   link_table table{ Identity("a", 1) };
   EXPECT_EQ(
--- a/Tests/LibPeer/TestPeerCodec.cpp
+++ b/Tests/LibPeer/TestPeerCodec.cpp
@@ -41,7 +41,7 @@
     poison_notice{ .mFingerprint = hash,
                    .mServer = backend_server_id{ "w1" },
                    .mIncarnation = incarnation{ 2 },
-                   .mLapse = milliseconds{ 60000 } },
+                   .mExpiresAfter = milliseconds{ 60000 } },
     drain_notice{ .mAcceptsFor = milliseconds{ 10000 } },
   };
 }
@@ -126,7 +126,7 @@
     .mOperatorsEnd = 12
   };
   topic_relay const relay{ .mTopic = store_topic::Servers,
-                           .mIsWhole = true,
+                           .mIsSnapshot = true,
                            .mFrom = 3,
                            .mEnd = 5,
                            .mRecords = {
@@ -163,7 +163,7 @@
   return std::span{ *aFrame }.subspan(kFrameHeaderBytes);
 }
 
-TEST(TestPeerCodec, EachMessageComesBackTheSame)
+TEST(TestPeerCodec, EachMessageDecodesToWhatWasEncoded)
 {
   for (peer_message const& message : OneOfEach()) {
     encoded_frame const frame = EncodePeerMessage(message);
@@ -172,13 +172,13 @@
   }
 }
 
-TEST(TestPeerCodec, NoKindIsLeftOut)
+TEST(TestPeerCodec, SamplesCoverEveryMessageType)
 {
   std::set<std::size_t> kinds;
   for (peer_message const& message : OneOfEachLinkMessage())
     kinds.insert(message.index());
-  constexpr std::size_t kNested = 3;
-  EXPECT_EQ(kinds.size(), std::variant_size_v<peer_message> - kNested);
+  constexpr std::size_t kNestedVariants = 3;
+  EXPECT_EQ(kinds.size(), std::variant_size_v<peer_message> - kNestedVariants);
   kinds.clear();
   for (budget_message const& message : OneOfEachBudgetMessage())
     kinds.insert(message.index());
@@ -193,15 +193,15 @@
   EXPECT_EQ(kinds.size(), std::variant_size_v<fleet_message>);
 }
 
-TEST(TestPeerCodec, AnyBytesDecodeOrAreRefused)
+TEST(TestPeerCodec, ArbitraryBytesDecodeOrAreRefused)
 {
   rc::check(
     [](std::vector<std::uint8_t> const& aBytes) { DecodePeerMessage(aBytes); });
 }
 
-// Changes a few bytes of good messages, so that the checks behind the first
-// ones are reached too.
-TEST(TestPeerCodec, ChangedMessagesDecodeOrAreRefused)
+// Arbitrary bytes mostly fail at the first check. A valid message with a few
+// bytes changed reaches the later checks too.
+TEST(TestPeerCodec, CorruptedMessagesDecodeOrAreRefused)
 {
   std::vector<peer_message> const messages = OneOfEach();
   rc::check([&messages]() {
@@ -218,7 +218,7 @@
   });
 }
 
-TEST(TestPeerCodec, RefusesAHelloWithoutAnIpNumber)
+TEST(TestPeerCodec, RefusesAHelloWithAHostNameForAnAddress)
 {
   peer_hello hello = std::get<peer_hello>(OneOfEach().front());
   hello.mPeers.mAddress = "localhost";
--- a/Tests/LibPeer/TestPeerHub.cpp
+++ b/Tests/LibPeer/TestPeerHub.cpp
@@ -8,7 +8,8 @@
 using std::chrono::milliseconds;
 using tcp = boost::asio::ip::tcp;
 
-// Runs the loop until the condition holds; false after a generous bound.
+// Runs the event loop until the condition holds; false if it still doesn't
+// after kSteps steps of one event or 10 ms each.
 template<typename Condition>
 bool
 RunUntil(boost::asio::io_context& aContext, Condition aCondition)
@@ -25,7 +26,7 @@
   return aPeer.mHub.Counters().mClosed[static_cast<std::size_t>(aReason)];
 }
 
-// A bare connection, which sends what a hub never would.
+// A plain TCP connection, which can send what a hub never sends.
 class raw_peer
 {
 public:
@@ -56,7 +57,7 @@
 protected:
   void Link(hub_peer& aFrom, hub_peer& aTo)
   {
-    aFrom.Want(aTo.Contact());
+    aFrom.SetPeer(aTo.Contact());
     ASSERT_TRUE(RunUntil(
       mContext, [&]() { return !aFrom.mUp.empty() && !aTo.mUp.empty(); }));
   }
@@ -64,7 +65,7 @@
   boost::asio::io_context mContext;
 };
 
-TEST_F(peer_hub_test, CarriesMessagesInOrderBothWays)
+TEST_F(peer_hub_test, DeliversMessagesInOrderInBothDirections)
 {
   hub_peer first{ mContext, "a", 1 };
   hub_peer second{ mContext, "b", 1 };
@@ -90,8 +91,8 @@
 {
   hub_peer first{ mContext, "a", 1 };
   hub_peer second{ mContext, "b", 1 };
-  first.Want(second.Contact());
-  second.Want(first.Contact());
+  first.SetPeer(second.Contact());
+  second.SetPeer(first.Contact());
   ASSERT_TRUE(RunUntil(mContext, [&]() {
     return Closed(first, link_close_reason::Duplicate) +
              Closed(second, link_close_reason::Duplicate) >
@@ -105,7 +106,7 @@
   EXPECT_TRUE(RunUntil(mContext, [&]() { return !second.mMessages.empty(); }));
 }
 
-TEST_F(peer_hub_test, BadFramesCloseTheirLinkAlone)
+TEST_F(peer_hub_test, InvalidFramesCloseOnlyTheirOwnLink)
 {
   hub_peer first{ mContext, "a", 1 };
   hub_peer second{ mContext, "b", 1 };
@@ -116,9 +117,9 @@
   oversized.Send(std::vector<std::uint8_t>{ 0, 0, 0, 0xff });
   raw_peer empty{ mContext, first };
   empty.Send(std::vector<std::uint8_t>{ 0, 0, 0, 0 });
-  raw_peer hasty{ mContext, first };
-  hasty.Send(drain_notice{});
-  raw_peer mute{ mContext, first };
+  raw_peer withoutHello{ mContext, first };
+  withoutHello.Send(drain_notice{});
+  raw_peer unresponsive{ mContext, first };
   ASSERT_TRUE(RunUntil(mContext, [&]() {
     return Closed(first, link_close_reason::MalformedFrame) == 1 &&
            Closed(first, link_close_reason::OversizedFrame) == 1 &&
@@ -131,11 +132,11 @@
   EXPECT_TRUE(first.mMessages.empty());
 }
 
-TEST_F(peer_hub_test, ANewerLifeReplacesAndAnOlderIsRefused)
+TEST_F(peer_hub_test, NewerIncarnationReplacesTheOlderWhichIsRefusedLater)
 {
   hub_peer first{ mContext, "a", 1 };
-  raw_peer old{ mContext, first };
-  old.Send(hub_peer::Hello("c", 5));
+  raw_peer older{ mContext, first };
+  older.Send(hub_peer::Hello("c", 5));
   ASSERT_TRUE(RunUntil(mContext, [&]() { return first.mUp.size() == 1; }));
   raw_peer restarted{ mContext, first };
   restarted.Send(hub_peer::Hello("c", 6));
@@ -143,25 +144,25 @@
   ASSERT_EQ(first.mDown.size(), 1u);
   EXPECT_EQ(first.mDown[0].mIncarnation, incarnation{ 5 });
 
-  raw_peer late{ mContext, first };
-  late.Send(hub_peer::Hello("c", 5));
-  late.Send(drain_notice{});
+  raw_peer delayed{ mContext, first };
+  delayed.Send(hub_peer::Hello("c", 5));
+  delayed.Send(drain_notice{});
   ASSERT_TRUE(RunUntil(mContext, [&]() {
     return Closed(first, link_close_reason::OlderIncarnation) == 1;
   }));
   EXPECT_TRUE(first.mMessages.empty());
 }
 
-TEST_F(peer_hub_test, ASilentPeerCountsAsDead)
+TEST_F(peer_hub_test, ClosesTheLinkOfAnUnresponsivePeer)
 {
   hub_peer first{ mContext, "a", 1 };
   raw_peer frozen{ mContext, first };
   frozen.Send(hub_peer::Hello("c", 1));
   ASSERT_TRUE(RunUntil(mContext, [&]() { return !first.mDown.empty(); }));
-  EXPECT_EQ(first.mDownReasons[0], link_close_reason::Silent);
+  EXPECT_EQ(first.mDownReasons[0], link_close_reason::Unresponsive);
 }
 
-TEST_F(peer_hub_test, QuietLivePeersStayLinked)
+TEST_F(peer_hub_test, IdlePeersStayLinked)
 {
   hub_peer first{ mContext, "a", 1 };
   hub_peer second{ mContext, "b", 1 };
@@ -193,7 +194,7 @@
   mContext.poll();
 }
 
-TEST_F(peer_hub_test, FullQueuesDropAndCount)
+TEST_F(peer_hub_test, DropsAndCountsMessagesBeyondTheLimits)
 {
   peer_hub_options options = hub_peer::FastOptions();
   options.mMaxQueueBytes = 1 << 16;
