--- a/Libraries/LibFleet/StoreFollower.h
+++ b/Libraries/LibFleet/StoreFollower.h
@@ -155,7 +155,7 @@
   {
     if (mSource == page_source::Store && !aPage.mRecords.empty())
       mRelayHandler({ .mTopic = aTopic,
-                      .mIsWhole = aIsFull,
+                      .mIsSnapshot = aIsFull,
                       .mFrom = aFrom,
                       .mEnd = aPage.mEnd,
                       .mRecords = aPage.mRecords });
@@ -168,7 +168,7 @@
   {
     topic_page const page{ .mRecords = aRelay.mRecords, .mEnd = aRelay.mEnd };
     mSource = page_source::Peer;
-    if (aRelay.mIsWhole)
+    if (aRelay.mIsSnapshot)
       aTopic.mReader.ApplyFullPage(page);
     else if (!aTopic.mReader.ApplyPage(aRelay.mFrom, page))
       aTopic.mElection.RequestRead();
