--- a/Bench/Peers/MeasureSupervision.cpp
+++ b/Bench/Peers/MeasureSupervision.cpp
@@ -60,7 +60,7 @@
       isAnswerDue = true;
       result.mFrames += isAlive ? 2 : 0;
     }
-    if (check == link_check::Beat) {
+    if (check == link_check::Heartbeat) {
       // The peer beats at the same interval.
       isAnswerDue = true;
       result.mFrames += isAlive ? 2 : 0;
@@ -135,7 +135,8 @@
       "quiet-link pings",
       traffic,
       []() {
-        quiet_link_options const options{ .mBeatInterval = duration::zero() };
+        quiet_link_options const options{ .mHeartbeatInterval =
+                                            duration::zero() };
         return quiet_link_supervisor{ options, instant{} };
       },
       found);
--- a/Libraries/LibControl/RequestDirectorStages.h
+++ b/Libraries/LibControl/RequestDirectorStages.h
@@ -15,7 +15,7 @@
   admitted_route const* const admitted = std::get_if<admitted_route>(&decision);
   bool const isKeyed =
     admitted && admitted->mRoute.mAccess == route_access::Keyed;
-  if (isKeyed && mView.Freshness(aNow) == freshness_verdict::CutOff)
+  if (isKeyed && mView.Freshness(aNow) == freshness_verdict::Partitioned)
     return NotConfirmedRefusal();
   return decision;
 }
--- a/Libraries/LibFleet/FleetLinks.h
+++ b/Libraries/LibFleet/FleetLinks.h
@@ -150,7 +150,7 @@
   // Reports are the signs of life; a link without any is pinged.
   static quiet_link_options LinkOptions()
   {
-    return { .mBeatInterval = {},
+    return { .mHeartbeatInterval = {},
              .mQuietInterval = std::chrono::milliseconds{ 500 },
              .mPingInterval = std::chrono::milliseconds{ 200 },
              .mPingLimit = 3 };
--- a/Libraries/LibMembership/BackendMembership.cpp
+++ b/Libraries/LibMembership/BackendMembership.cpp
@@ -35,7 +35,7 @@
   bool const isNewIncarnation = known.mIncarnation != aReport.mIncarnation;
   bool const wasLeaving =
     !isNewIncarnation && known.mState == member_state::Leaving;
-  // A life that is leaving stays so, also when reports cross.
+  // Leaving is final for an incarnation, even if reports arrive out of order.
   known = { .mIncarnation = aReport.mIncarnation,
             .mState = wasLeaving ? member_state::Leaving : aReport.mState,
             .mReportedAt = aNow };
@@ -51,34 +51,34 @@
   return found->second.mIncarnation;
 }
 
-backend_standing
-backend_membership::Standing(backend_server_id const& aServer,
-                             instant aNow) const
+backend_availability
+backend_membership::Availability(backend_server_id const& aServer,
+                                 instant aNow) const
 {
   auto const found = mServers.find(aServer);
   if (found == mServers.end())
-    return backend_standing::Removed;
+    return backend_availability::Removed;
   server_state const& known = found->second;
   if (known.mState == member_state::Leaving)
-    return backend_standing::Leaving;
-  // A plain service that never reports is taken as the pools describe it.
+    return backend_availability::Leaving;
+  // A plain service never reports; the pools alone decide on it.
   if (known.mIncarnation && aNow - known.mReportedAt >= mOptions.mReportTimeout)
-    return backend_standing::Silent;
-  return backend_standing::Usable;
+    return backend_availability::Unresponsive;
+  return backend_availability::Usable;
 }
 
-backend_standing
-backend_membership::StandingAtDispatch(
+backend_availability
+backend_membership::AvailabilityAtDispatch(
   backend_server_id const& aServer,
   std::optional<incarnation> aChosenIncarnation,
   instant aNow) const
 {
-  backend_standing const standing = Standing(aServer, aNow);
-  if (standing != backend_standing::Usable)
-    return standing;
+  backend_availability const availability = Availability(aServer, aNow);
+  if (availability != backend_availability::Usable)
+    return availability;
   if (aChosenIncarnation && IncarnationOf(aServer) != aChosenIncarnation)
-    return backend_standing::Restarted;
-  return backend_standing::Usable;
+    return backend_availability::Restarted;
+  return backend_availability::Usable;
 }
 
 }
--- a/Libraries/LibMembership/BackendMembership.h
+++ b/Libraries/LibMembership/BackendMembership.h
@@ -3,9 +3,9 @@
 #include <LibConfig/PoolRow.h>
 #include <LibCore/Identifiers.h>
 #include <LibCore/Instant.h>
+#include <LibMembership/BackendAvailability.h>
 #include <LibMembership/BackendMembershipOptions.h>
 #include <LibMembership/BackendReport.h>
-#include <LibMembership/BackendStanding.h>
 
 #include <map>
 #include <optional>
@@ -13,31 +13,32 @@
 
 namespace lycheeseam {
 
-/// Joins the table of pools with backend servers' own reports, and says which
-/// may be given new work.
+/// Combines the configured pools with the reports of backend servers, and
+/// decides which servers may receive new requests.
 class backend_membership
 {
 public:
   explicit backend_membership(backend_membership_options aOptions);
 
-  /// The pools in force; servers that none names are forgotten.
+  /// Sets the pools in force; discards the state of servers in none of them.
   void SetPools(std::span<pool_row const> aPools);
 
-  /// A server reported; reports of an older life than the newest known are
-  /// dropped. Returns true when this is the first of a newer life.
+  /// Records a server's report; ignores one of an incarnation older than the
+  /// newest known. Returns true for the first report of a new incarnation.
   bool OnReport(backend_report const& aReport, instant aNow);
 
-  /// The newest life known; nothing before the first report.
+  /// The newest known incarnation; nothing before the first report.
   [[nodiscard]] std::optional<incarnation> IncarnationOf(
     backend_server_id const& aServer) const;
 
-  /// Whether the server may be chosen now.
-  [[nodiscard]] backend_standing Standing(backend_server_id const& aServer,
-                                          instant aNow) const;
+  /// Whether the server may be chosen for a request now.
+  [[nodiscard]] backend_availability Availability(
+    backend_server_id const& aServer,
+    instant aNow) const;
 
   /// The check right before dispatch, after any wait: the server must still be
-  /// usable and in the life for which it was chosen.
-  [[nodiscard]] backend_standing StandingAtDispatch(
+  /// usable and run the incarnation for which it was chosen.
+  [[nodiscard]] backend_availability AvailabilityAtDispatch(
     backend_server_id const& aServer,
     std::optional<incarnation> aChosenIncarnation,
     instant aNow) const;
--- a/Libraries/LibMembership/BackendMembershipOptions.h
+++ b/Libraries/LibMembership/BackendMembershipOptions.h
@@ -6,11 +6,11 @@
 
 namespace lycheeseam {
 
-/// Bounds on knowledge of backend servers.
+/// Time limits of backend_membership.
 struct backend_membership_options
 {
-  /// A server that reported before and is silent for this long gets nothing
-  /// new: it may have left or died.
+  /// A server that has reported before and sends no report for this long gets
+  /// no new requests, since it may have left or crashed.
   duration mReportTimeout = std::chrono::milliseconds{ 2500 };
 };
 
--- a/Libraries/LibMembership/BackendReport.h
+++ b/Libraries/LibMembership/BackendReport.h
@@ -5,7 +5,7 @@
 
 namespace lycheeseam {
 
-/// What a backend server says of itself with each report of its load.
+/// The identity and state that a backend server sends with each load report.
 struct backend_report
 {
   backend_server_id mServer;
--- a/Libraries/LibMembership/CallerAddress.h
+++ b/Libraries/LibMembership/CallerAddress.h
@@ -5,7 +5,7 @@
 
 namespace lycheeseam {
 
-/// An address that a caller may use.
+/// The address of an instance to which a caller may send requests.
 struct caller_address
 {
   instance_id mInstance;
--- a/Libraries/LibMembership/CallerAddresses.h
+++ b/Libraries/LibMembership/CallerAddresses.h
@@ -10,9 +10,9 @@
 
 namespace lycheeseam {
 
-/// The addresses for one caller, in the order in which to try them: those in
-/// its own failure domain first. aUsable holds no leaving instance; equal
-/// seeds give equal orders, and callers over many seeds are spread evenly.
+/// Chooses the addresses for one caller, in the order in which to try them:
+/// those in its own failure domain first. aUsable contains no leaving instance.
+/// Equal seeds give equal orders; different seeds spread callers evenly.
 std::vector<caller_address>
 ChooseCallerAddresses(std::span<member const> aUsable,
                       failure_domain const& aCallersDomain,
--- a/Libraries/LibMembership/DomainObservation.h
+++ b/Libraries/LibMembership/DomainObservation.h
@@ -6,8 +6,8 @@
 
 namespace lycheeseam {
 
-/// The age of an instance's last observation of a failure domain, its own or
-/// one that a peer reported.
+/// How long ago an instance of a failure domain was last known to be running,
+/// by this instance's own observation or by a peer's report.
 struct domain_observation
 {
   domain_code mDomain;
--- a/Libraries/LibMembership/DrainOptions.h
+++ b/Libraries/LibMembership/DrainOptions.h
@@ -6,15 +6,16 @@
 
 namespace lycheeseam {
 
-/// The spans of a planned stop.
+/// Durations of the phases of a planned stop.
 struct drain_options
 {
-  /// How long callers keep an answer about addresses.
+  /// How long callers use the addresses that they resolved.
   duration mAddressTtl = std::chrono::seconds{ 10 };
-  /// Until every instance has heard of the stop and answers without this one.
-  duration mSpread = std::chrono::seconds{ 2 };
-  /// How long open requests may take after that.
-  duration mFinish = std::chrono::minutes{ 10 };
+  /// How long the stop takes to reach every instance; from then on none of them
+  /// gives this instance's address to callers.
+  duration mPropagationTime = std::chrono::seconds{ 2 };
+  /// How long open requests may take after both times have passed.
+  duration mFinishTimeout = std::chrono::minutes{ 10 };
 };
 
 }
--- a/Libraries/LibMembership/DrainPhase.h
+++ b/Libraries/LibMembership/DrainPhase.h
@@ -2,18 +2,18 @@
 
 namespace lycheeseam {
 
-/// How far a planned stop has come.
+/// The phase of a planned stop.
 enum class drain_phase
 {
-  /// No stop was asked for.
+  /// No stop was requested.
   Serving,
-  /// Callers are no longer told of this instance; those who were told may
-  /// still come.
+  /// Callers no longer get this instance's address; those that have it may
+  /// still send requests.
   Announced,
-  /// No caller holds a valid answer any more: new requests are refused as not
-  /// run, open ones go on.
+  /// No caller's copy of the address is valid any more: new requests are
+  /// refused as not run, open ones continue.
   Finishing,
-  /// Nothing is open, or the bound has passed: the process may end.
+  /// No request is open, or the time limit has passed: the process may exit.
   Done,
 };
 
--- a/Libraries/LibMembership/DrainState.cpp
+++ b/Libraries/LibMembership/DrainState.cpp
@@ -21,9 +21,9 @@
     return drain_phase::Serving;
   if (Accepts(aNow))
     return drain_phase::Announced;
-  instant const bound =
-    *mBegan + mOptions.mSpread + mOptions.mAddressTtl + mOptions.mFinish;
-  if (aOpenRequests == 0 || aNow >= bound)
+  instant const deadline = *mBegan + mOptions.mPropagationTime +
+                           mOptions.mAddressTtl + mOptions.mFinishTimeout;
+  if (aOpenRequests == 0 || aNow >= deadline)
     return drain_phase::Done;
   return drain_phase::Finishing;
 }
@@ -31,9 +31,10 @@
 bool
 drain_state::Accepts(instant aNow) const
 {
-  // The last answer that names this instance may be given when the stop has
-  // spread, and is used for its time to live.
-  return !mBegan || aNow - *mBegan < mOptions.mSpread + mOptions.mAddressTtl;
+  // A caller may get this address until the stop has reached every instance,
+  // and uses it for its time to live.
+  return !mBegan ||
+         aNow - *mBegan < mOptions.mPropagationTime + mOptions.mAddressTtl;
 }
 
 }
--- a/Libraries/LibMembership/DrainState.h
+++ b/Libraries/LibMembership/DrainState.h
@@ -9,20 +9,21 @@
 
 namespace lycheeseam {
 
-/// A planned stop, which cuts no request within its bound.
+/// The state of a planned stop of this instance, which lets requests finish
+/// within a time limit.
 class drain_state
 {
 public:
   explicit drain_state(drain_options aOptions);
 
-  /// A stop was asked for; a second call changes nothing.
+  /// Begins the stop; a second call has no effect.
   void Begin(instant aNow);
 
-  /// The phase, where aOpenRequests are under way.
+  /// The current phase, given the number of open requests.
   [[nodiscard]] drain_phase Phase(instant aNow,
                                   std::size_t aOpenRequests) const;
 
-  /// Whether a new request is taken.
+  /// Whether a new request is accepted.
   [[nodiscard]] bool Accepts(instant aNow) const;
 
 private:
--- a/Libraries/LibMembership/FixedHeartbeatOptions.h
+++ b/Libraries/LibMembership/FixedHeartbeatOptions.h
@@ -6,12 +6,12 @@
 
 namespace lycheeseam {
 
-/// Intervals of fixed heartbeats.
+/// Intervals of fixed_heartbeat_supervisor.
 struct fixed_heartbeat_options
 {
-  /// Between two heartbeats to the peer.
+  /// The time between two heartbeats to the peer.
   duration mInterval = std::chrono::milliseconds{ 1000 };
-  /// A peer silent for this long counts as dead.
+  /// A peer that sends no heartbeat for this long counts as dead.
   duration mTimeout = std::chrono::milliseconds{ 4000 };
 };
 
--- a/Libraries/LibMembership/FixedHeartbeatSupervisor.cpp
+++ b/Libraries/LibMembership/FixedHeartbeatSupervisor.cpp
@@ -7,7 +7,7 @@
   instant aNow)
   : mOptions(aOptions)
   , mLastReceived(aNow)
-  , mNextBeat(aNow)
+  , mNextHeartbeat(aNow)
 {
 }
 
@@ -22,10 +22,10 @@
 {
   if (aNow - mLastReceived >= mOptions.mTimeout)
     return link_check::Dead;
-  if (aNow < mNextBeat)
-    return link_check::Quiet;
-  mNextBeat = aNow + mOptions.mInterval;
-  return link_check::Beat;
+  if (aNow < mNextHeartbeat)
+    return link_check::None;
+  mNextHeartbeat = aNow + mOptions.mInterval;
+  return link_check::Heartbeat;
 }
 
 }
--- a/Libraries/LibMembership/FixedHeartbeatSupervisor.h
+++ b/Libraries/LibMembership/FixedHeartbeatSupervisor.h
@@ -6,7 +6,8 @@
 
 namespace lycheeseam {
 
-/// Sends a heartbeat at each interval, whatever else the link carries.
+/// Sends a heartbeat at each interval, whatever the other traffic, and counts
+/// only heartbeats of the peer as a sign that it is alive.
 class fixed_heartbeat_supervisor
 {
 public:
@@ -14,16 +15,16 @@
 
   static constexpr bool kCountsAllTraffic = false;
 
-  /// A heartbeat came from the peer.
+  /// A heartbeat arrived from the peer.
   void OnReceived(instant aNow);
 
-  /// To be called at least once an interval.
+  /// Returns the action that is due; to be called at least once an interval.
   [[nodiscard]] link_check Check(instant aNow);
 
 private:
   fixed_heartbeat_options mOptions;
   instant mLastReceived;
-  instant mNextBeat;
+  instant mNextHeartbeat;
 };
 
 }
--- a/Libraries/LibMembership/Freshness.cpp
+++ b/Libraries/LibMembership/Freshness.cpp
@@ -8,28 +8,29 @@
 
 namespace {
 
-// Readings that wait for entries to be applied; more would be stale by then.
-constexpr std::size_t kMaxAhead = 16;
+// The maximum number of tail readings that wait until the log's entries are
+// applied; further ones would be stale by then.
+constexpr std::size_t kMaxPendingReadings = 16;
 
 template<typename Key>
 std::optional<instant>
-Find(std::map<Key, instant> const& aSigns, Key const& aKey)
+Find(std::map<Key, instant> const& aTimes, Key const& aKey)
 {
-  auto const found = aSigns.find(aKey);
-  if (found == aSigns.end())
+  auto const found = aTimes.find(aKey);
+  if (found == aTimes.end())
     return std::nullopt;
   return found->second;
 }
 
 template<typename Key>
 void
-Raise(std::map<Key, instant>& aSigns, Key const& aKey, instant aAt)
+KeepLatest(std::map<Key, instant>& aTimes, Key const& aKey, instant aAt)
 {
-  auto const [found, isNew] = aSigns.try_emplace(aKey, aAt);
+  auto const [found, isNew] = aTimes.try_emplace(aKey, aAt);
   found->second = std::max(found->second, aAt);
 }
 
-// Rounded up, so that an age never looks younger than it is.
+// Rounds up, so that knowledge never looks fresher than it is.
 std::chrono::milliseconds
 Age(instant aAt, instant aNow)
 {
@@ -45,7 +46,7 @@
   : mSelf(std::move(aSelf))
   , mOptions(aOptions)
   , mLastTick(aNow)
-  , mNotBefore(aNow)
+  , mIgnoreBefore(aNow)
 {
 }
 
@@ -53,9 +54,10 @@
 freshness::OnApplied(log_offset aOffset)
 {
   mApplied = std::max(mApplied, aOffset);
-  while (!mAhead.empty() && mAhead.begin()->first <= mApplied) {
-    auto const [tail, at] = *mAhead.begin();
-    mAhead.erase(mAhead.begin());
+  while (!mPendingReadings.empty() &&
+         mPendingReadings.begin()->first <= mApplied) {
+    auto const [tail, at] = *mPendingReadings.begin();
+    mPendingReadings.erase(mPendingReadings.begin());
     OnTailRead(tail, at);
   }
 }
@@ -64,10 +66,10 @@
 freshness::OnTailRead(log_offset aTail, instant aSentAt)
 {
   if (aTail > mApplied) {
-    Raise(mAhead, aTail, aSentAt);
-    // The lesser tails are applied first, so the greatest can go.
-    if (mAhead.size() > kMaxAhead)
-      mAhead.erase(std::prev(mAhead.end()));
+    KeepLatest(mPendingReadings, aTail, aSentAt);
+    // The lower tails are applied first, so the highest is dropped.
+    if (mPendingReadings.size() > kMaxPendingReadings)
+      mPendingReadings.erase(std::prev(mPendingReadings.end()));
     return;
   }
   if (!mReading || aSentAt > mReading->mAt)
@@ -75,23 +77,28 @@
 }
 
 void
-freshness::OnPeerSign(peer_observation const& aSign, instant aNow)
+freshness::OnPeerObservation(peer_observation const& aObservation, instant aNow)
 {
-  if (aSign.mEchoedSentAt > aNow || aSign.mEchoedSentAt < mNotBefore)
+  if (aObservation.mEchoedSentAt > aNow ||
+      aObservation.mEchoedSentAt < mIgnoreBefore)
     return;
-  Raise(mPeerSigns, aSign.mPeer, aSign.mEchoedSentAt);
-  Raise(mDomainSigns, aSign.mDomain, aSign.mEchoedSentAt);
-  for (domain_observation const& sign : aSign.mDomains)
-    Raise(mDomainSigns, sign.mDomain, aSign.mEchoedSentAt - sign.mAge);
-  if (aSign.mTail)
-    OnTailRead(aSign.mTail->mTail, aSign.mEchoedSentAt - aSign.mTail->mAge);
+  KeepLatest(mPeerObservedAt, aObservation.mPeer, aObservation.mEchoedSentAt);
+  KeepLatest(
+    mDomainObservedAt, aObservation.mDomain, aObservation.mEchoedSentAt);
+  for (domain_observation const& observation : aObservation.mDomains)
+    KeepLatest(mDomainObservedAt,
+               observation.mDomain,
+               aObservation.mEchoedSentAt - observation.mAge);
+  if (aObservation.mTail)
+    OnTailRead(aObservation.mTail->mTail,
+               aObservation.mEchoedSentAt - aObservation.mTail->mAge);
 }
 
 void
 freshness::OnTick(instant aNow)
 {
   if (aNow - mLastTick > mOptions.mPauseLimit) {
-    mNotBefore = aNow;
+    mIgnoreBefore = aNow;
     mPauseEnded = aNow;
   }
   mLastTick = aNow;
@@ -104,62 +111,66 @@
 {
   if (mReading && IsRecent(mReading->mAt, aNow))
     return freshness_verdict::Confirmed;
-  // The decision may come before the tick that would notice a pause.
+  // This may run before the tick that would detect a pause.
   if (aNow - mLastTick > mOptions.mPauseLimit)
-    return freshness_verdict::CutOff;
-  // After a pause the log gets its chance to answer first: that it hasn't yet
-  // is no sign of its being out, and a lone instance has no one else to ask.
+    return freshness_verdict::Partitioned;
+  // After a pause the log gets one bound of time to answer: that it hasn't yet
+  // doesn't show an outage of the log, and a single instance is always a
+  // majority of its fleet.
   if (mPauseEnded && aNow < *mPauseEnded + mOptions.mBound)
-    return freshness_verdict::CutOff;
-  auto const isWithinReach = [&](member const& aMember) {
-    return IsWithinReach(aMember, aLinked, aNow);
+    return freshness_verdict::Partitioned;
+  auto const isReachable = [&](member const& aMember) {
+    return IsReachable(aMember, aLinked, aNow);
   };
-  auto const reached =
-    std::count_if(aMembers.begin(), aMembers.end(), isWithinReach);
-  bool const isMost = 2 * static_cast<std::size_t>(reached) > aMembers.size();
-  return isMost ? freshness_verdict::LogOut : freshness_verdict::CutOff;
+  auto const reachable =
+    std::count_if(aMembers.begin(), aMembers.end(), isReachable);
+  bool const isMajority =
+    2 * static_cast<std::size_t>(reachable) > aMembers.size();
+  return isMajority ? freshness_verdict::LogUnreachable
+                    : freshness_verdict::Partitioned;
 }
 
 std::optional<tail_observation>
 freshness::Tail(instant aNow) const
 {
-  if (!mReading || mReading->mAt < mNotBefore)
+  if (!mReading || mReading->mAt < mIgnoreBefore)
     return std::nullopt;
   return tail_observation{ .mTail = mReading->mTail,
                            .mAge = Age(mReading->mAt, aNow) };
 }
 
 std::vector<domain_observation>
-freshness::DomainSigns(instant aNow) const
+freshness::DomainObservations(instant aNow) const
 {
-  std::vector<domain_observation> signs;
-  for (auto const& [domain, at] : mDomainSigns) {
+  std::vector<domain_observation> observations;
+  for (auto const& [domain, at] : mDomainObservedAt) {
     if (IsRecent(at, aNow))
-      signs.push_back({ .mDomain = domain, .mAge = Age(at, aNow) });
+      observations.push_back({ .mDomain = domain, .mAge = Age(at, aNow) });
   }
-  return signs;
+  return observations;
 }
 
 bool
 freshness::IsRecent(std::optional<instant> aAt, instant aNow) const
 {
-  // A pause that no tick has noticed yet makes everything doubtful.
+  // After a pause that no tick has detected yet, no knowledge is reliable.
   if (!aAt || aNow - mLastTick > mOptions.mPauseLimit)
     return false;
-  return *aAt >= mNotBefore && aNow - *aAt <= mOptions.mBound;
+  return *aAt >= mIgnoreBefore && aNow - *aAt <= mOptions.mBound;
 }
 
 bool
-freshness::IsWithinReach(member const& aMember,
-                         std::span<instance_id const> aLinked,
-                         instant aNow) const
+freshness::IsReachable(member const& aMember,
+                       std::span<instance_id const> aLinked,
+                       instant aNow) const
 {
   instance_id const& name = aMember.mIdentity.mInstance;
   if (name == mSelf)
     return true;
   if (std::find(aLinked.begin(), aLinked.end(), name) != aLinked.end())
-    return IsRecent(Find(mPeerSigns, name), aNow);
-  return IsRecent(Find(mDomainSigns, DomainCode(aMember.mFailureDomain)), aNow);
+    return IsRecent(Find(mPeerObservedAt, name), aNow);
+  return IsRecent(Find(mDomainObservedAt, DomainCode(aMember.mFailureDomain)),
+                  aNow);
 }
 
 }
--- a/Libraries/LibMembership/Freshness.h
+++ b/Libraries/LibMembership/Freshness.h
@@ -17,48 +17,52 @@
 
 namespace lycheeseam {
 
-/// Decides whether this instance knows enough to decide on keyed work.
+/// Decides whether this instance's copy of the log is recent enough to decide
+/// on keyed requests.
 ///
-/// Most instances being within reach is judged by direct signs of linked
-/// peers, and for the others by the signs of their failure domains, which
-/// spread from peer to peer: a cut separates domains, and their number stays
-/// small when that of instances doesn't.
+/// It is when the log's tail was read within a bound, by this instance or by a
+/// peer. Otherwise it depends on whether a majority of instances is reachable.
+/// A linked peer is reachable by its own observations, any other instance by
+/// the observations of its failure domain, which peers pass on. Partitions
+/// separate failure domains, and there are few of these in a large fleet.
 class freshness
 {
 public:
   freshness(instance_id aSelf, freshness_options aOptions, instant aNow);
 
-  /// All entries of the log up to this one are applied.
+  /// This instance has applied all entries of the log up to this one.
   void OnApplied(log_offset aOffset);
 
-  /// This instance read where the log's tail is, by a read that it sent then.
-  /// It counts once all up to that tail is applied.
+  /// This instance read the offset of the log's tail, with a read that it sent
+  /// at aSentAt. The reading counts once all entries up to it are applied.
   void OnTailRead(log_offset aTail, instant aSentAt);
 
-  /// A peer gave a sign that echoes a message of this instance. Its word on
-  /// the tail counts as this instance's own reads do. An echo of what this
-  /// instance can't have sent is dropped.
-  void OnPeerSign(peer_observation const& aSign, instant aNow);
+  /// A peer sent an observation that echoes a message of this instance. The
+  /// tail in it counts like this instance's own readings. An echo of a time at
+  /// which this instance can't have sent a message is ignored.
+  void OnPeerObservation(peer_observation const& aObservation, instant aNow);
 
-  /// To be called several times within the pause limit.
+  /// Detects pauses of the process; to be called several times within the
+  /// pause limit.
   void OnTick(instant aNow);
 
-  /// The verdict, where aMembers are all instances that should be there and
-  /// aLinked those of them that this instance keeps links to.
+  /// The verdict, where aMembers are all expected instances and aLinked those
+  /// of them that this instance keeps links to.
   [[nodiscard]] freshness_verdict Assess(
     instant aNow,
     std::span<member const> aMembers,
     std::span<instance_id const> aLinked) const;
 
-  /// What to tell peers of the tail; nothing before the first reading and
-  /// after a pause.
+  /// The tail to report to peers; nothing before the first reading and after a
+  /// pause.
   [[nodiscard]] std::optional<tail_observation> Tail(instant aNow) const;
 
-  /// What to tell peers of failure domains.
-  [[nodiscard]] std::vector<domain_observation> DomainSigns(instant aNow) const;
+  /// The observations of failure domains to report to peers.
+  [[nodiscard]] std::vector<domain_observation> DomainObservations(
+    instant aNow) const;
 
 private:
-  /// Where the tail was at a moment.
+  /// The tail and the time at which it was read.
   struct tail_reading
   {
     log_offset mTail;
@@ -66,24 +70,25 @@
   };
 
   [[nodiscard]] bool IsRecent(std::optional<instant> aAt, instant aNow) const;
-  [[nodiscard]] bool IsWithinReach(member const& aMember,
-                                   std::span<instance_id const> aLinked,
-                                   instant aNow) const;
+  [[nodiscard]] bool IsReachable(member const& aMember,
+                                 std::span<instance_id const> aLinked,
+                                 instant aNow) const;
 
   instance_id mSelf;
   freshness_options mOptions;
   instant mLastTick;
-  /// Nothing counts that was true before this: a pause ended here.
-  instant mNotBefore;
+  /// Observations from before this time are ignored: the start of the process
+  /// or the end of its last pause.
+  instant mIgnoreBefore;
   /// When the last pause ended; nothing before the first.
   std::optional<instant> mPauseEnded;
   log_offset mApplied;
-  /// The latest reading up to which all is applied.
+  /// The latest reading up to which all entries are applied.
   std::optional<tail_reading> mReading;
-  /// Readings of tails that aren't applied yet, by tail.
-  std::map<log_offset, instant> mAhead;
-  std::map<instance_id, instant> mPeerSigns;
-  std::map<domain_code, instant> mDomainSigns;
+  /// The time of each reading of a tail that isn't applied yet.
+  std::map<log_offset, instant> mPendingReadings;
+  std::map<instance_id, instant> mPeerObservedAt;
+  std::map<domain_code, instant> mDomainObservedAt;
 };
 
 }
--- a/Libraries/LibMembership/FreshnessOptions.h
+++ b/Libraries/LibMembership/FreshnessOptions.h
@@ -6,10 +6,10 @@
 
 namespace lycheeseam {
 
-/// Bounds of the freshness rule.
+/// Time limits of freshness.
 struct freshness_options
 {
-  /// How old the knowledge of the log's tail, and of peers, may be.
+  /// The maximum age of knowledge about the log's tail and about peers.
   duration mBound = std::chrono::milliseconds{ 3000 };
   /// A longer gap between two ticks means that the process was paused.
   duration mPauseLimit = std::chrono::milliseconds{ 1000 };
--- a/Libraries/LibMembership/FreshnessVerdict.h
+++ b/Libraries/LibMembership/FreshnessVerdict.h
@@ -2,16 +2,18 @@
 
 namespace lycheeseam {
 
-/// Whether an instance may decide on keyed work.
+/// Whether an instance may decide on keyed requests.
 enum class freshness_verdict
 {
-  /// The log's tail was read within the bound, by it or by a peer.
+  /// This instance or a peer read the log's tail within the bound.
   Confirmed,
-  /// Nobody within reach reads the log, and most instances are within reach:
-  /// serve on what is known.
-  LogOut,
-  /// Others may know more than this instance: refuse keyed work as not run.
-  CutOff,
+  /// No reachable instance can read the log, and a majority of instances is
+  /// reachable: serve from the entries applied so far.
+  LogUnreachable,
+  /// This instance is separated from the log and the majority, or has just been
+  /// paused. Others may know of newer entries: refuse keyed requests as not
+  /// run.
+  Partitioned,
 };
 
 }
--- a/Libraries/LibMembership/LinkCheck.h
+++ b/Libraries/LibMembership/LinkCheck.h
@@ -2,16 +2,16 @@
 
 namespace lycheeseam {
 
-/// What the check of a link asks for.
+/// The action that the check of a link calls for.
 enum class link_check
 {
-  /// Nothing is to be done.
-  Quiet,
-  /// A heartbeat is to be sent.
-  Beat,
-  /// A heartbeat that the peer answers at once is to be sent.
+  /// No action.
+  None,
+  /// Send a heartbeat.
+  Heartbeat,
+  /// Send a heartbeat that the peer must answer at once.
   Ping,
-  /// The peer counts as dead; the link is to be closed.
+  /// The peer counts as dead: close the link.
   Dead,
 };
 
--- a/Libraries/LibMembership/LinkSupervisor.h
+++ b/Libraries/LibMembership/LinkSupervisor.h
@@ -7,8 +7,9 @@
 
 namespace lycheeseam {
 
-/// Decides when a link needs a heartbeat and when its peer counts as dead. It
-/// says whether traffic other than heartbeats is a sign of life.
+/// Decides when a link needs a heartbeat and when its peer counts as dead.
+/// kCountsAllTraffic says whether any traffic, or only a heartbeat, shows that
+/// the peer is alive.
 template<typename Supervisor>
 concept link_supervisor = requires(Supervisor& aSupervisor, instant aNow)
 {
--- a/Libraries/LibMembership/Member.h
+++ b/Libraries/LibMembership/Member.h
@@ -7,7 +7,7 @@
 
 namespace lycheeseam {
 
-/// One instance as this one knows it.
+/// One instance of the fleet, as far as this instance knows.
 struct member
 {
   instance_identity mIdentity;
--- a/Libraries/LibMembership/MemberState.h
+++ b/Libraries/LibMembership/MemberState.h
@@ -2,11 +2,11 @@
 
 namespace lycheeseam {
 
-/// Whether an instance stays.
+/// Whether an instance or a backend server is shutting down.
 enum class member_state
 {
   Live,
-  /// Finishes what it has; callers are no longer told of it.
+  /// Finishes its open requests and is no longer offered for new ones.
   Leaving,
 };
 
--- a/Libraries/LibMembership/MemberTable.cpp
+++ b/Libraries/LibMembership/MemberTable.cpp
@@ -17,7 +17,7 @@
   for (auto& [name, known] : mEntries)
     known.mIsListed = false;
   for (member const& listed : aListed) {
-    Learn(listed);
+    Update(listed);
     mEntries.at(listed.mIdentity.mInstance).mIsListed = true;
   }
   DropUnlisted(aNow);
@@ -26,12 +26,12 @@
 void
 member_table::OnPeerUp(member const& aPeer)
 {
-  Learn(aPeer);
+  Update(aPeer);
   entry* const known = FindIdentity(aPeer.mIdentity);
   if (!known)
     return;
   known->mIsLinked = true;
-  known->mLostAt.reset();
+  known->mLinkClosedAt.reset();
 }
 
 void
@@ -41,7 +41,7 @@
   if (!known)
     return;
   known->mIsLinked = false;
-  known->mLostAt = aNow;
+  known->mLinkClosedAt = aNow;
 }
 
 void
@@ -72,8 +72,8 @@
 {
   std::vector<member> usable;
   for (auto const& [name, known] : mEntries) {
-    bool const isLost = known.mLostAt.has_value();
-    if (known.mMember.mState == member_state::Live && !isLost)
+    bool const isLinkClosed = known.mLinkClosedAt.has_value();
+    if (known.mMember.mState == member_state::Live && !isLinkClosed)
       usable.push_back(known.mMember);
   }
   return usable;
@@ -97,10 +97,10 @@
   return &found->second;
 }
 
-// A newer life replaces all that was known. Of the same life only leaving is
-// learned: it never ends, while the list may not show it yet.
+// A newer incarnation replaces the entry. For the same incarnation only leaving
+// is taken over, which is final; a list that doesn't show it yet lags.
 void
-member_table::Learn(member const& aMember)
+member_table::Update(member const& aMember)
 {
   instance_id const& name = aMember.mIdentity.mInstance;
   auto const [found, isNew] =
@@ -123,7 +123,8 @@
     entry const& known = aEntry.second;
     if (known.mIsListed || known.mIsLinked || aEntry.first == mSelf)
       return false;
-    return !known.mLostAt || aNow - *known.mLostAt >= mOptions.mUnlistedGrace;
+    return !known.mLinkClosedAt ||
+           aNow - *known.mLinkClosedAt >= mOptions.mUnlistedGrace;
   });
 }
 
--- a/Libraries/LibMembership/MemberTable.h
+++ b/Libraries/LibMembership/MemberTable.h
@@ -11,36 +11,36 @@
 
 namespace lycheeseam {
 
-/// Joins the platform's lagging list of instances with what links tell.
+/// Combines the platform's list of instances with the state of links.
 ///
-/// The list names instances that this one has no link to; a link knows more
-/// of its peer, and sooner. What is older than the newest incarnation known
-/// is dropped, wherever it comes from.
+/// The list lags, but has instances without a link to this one; a link shows
+/// the state of its peer sooner. Reports of an incarnation older than the
+/// newest known are ignored, whatever their source.
 class member_table
 {
 public:
   member_table(member aSelf, member_table_options aOptions);
 
-  /// A new state of the platform's list.
+  /// Applies a new state of the platform's list.
   void SetList(std::span<member const> aListed, instant aNow);
 
   /// A link to the peer is up.
   void OnPeerUp(member const& aPeer);
 
-  /// No link to the peer is up any more.
+  /// The last link to the peer closed.
   void OnPeerDown(instance_identity const& aPeer, instant aNow);
 
-  /// The peer said that it is leaving.
+  /// The peer reported that it is leaving.
   void OnLeaving(instance_identity const& aPeer);
 
   /// This instance is leaving.
   void OnSelfLeaving();
 
-  /// All instances in order of their names, this one included.
+  /// All known instances in order of their names, including this one.
   [[nodiscard]] std::vector<member> Members() const;
 
-  /// Those that callers may be told of: neither leaving nor lost. A lost one
-  /// had a link that ended and hasn't come back.
+  /// The instances whose addresses callers may get: not leaving, and without a
+  /// link that closed and hasn't been opened again.
   [[nodiscard]] std::vector<member> Usable() const;
 
   /// The identity of the newest known incarnation of an instance.
@@ -53,12 +53,12 @@
     member mMember;
     bool mIsListed = false;
     bool mIsLinked = false;
-    /// When the last link ended; nothing while one is up or before the first.
-    std::optional<instant> mLostAt;
+    /// When the last link closed; nothing while one is up or before the first.
+    std::optional<instant> mLinkClosedAt;
   };
 
   [[nodiscard]] entry* FindIdentity(instance_identity const& aIdentity);
-  void Learn(member const& aMember);
+  void Update(member const& aMember);
   void DropUnlisted(instant aNow);
 
   instance_id mSelf;
--- a/Libraries/LibMembership/MemberTableOptions.h
+++ b/Libraries/LibMembership/MemberTableOptions.h
@@ -6,11 +6,11 @@
 
 namespace lycheeseam {
 
-/// How long doubtful members stay.
+/// Time limits of member_table.
 struct member_table_options
 {
-  /// A peer that the platform's list doesn't name stays for this long after
-  /// its link ended: the list may lag behind a start.
+  /// How long a peer missing from the platform's list stays in the table after
+  /// its link closed; a peer that just started may not be in the list yet.
   duration mUnlistedGrace = std::chrono::seconds{ 30 };
 };
 
--- a/Libraries/LibMembership/PeerObservation.h
+++ b/Libraries/LibMembership/PeerObservation.h
@@ -11,17 +11,17 @@
 
 namespace lycheeseam {
 
-/// What a peer said of itself, of the log and of failure domains, after it had
-/// received a message that this instance sent.
+/// What a peer reported of itself, the log and failure domains, after it
+/// received a message of this instance.
 struct peer_observation
 {
   instance_id mPeer;
   domain_code mDomain;
-  /// When that message was sent, by this instance's clock. All that the peer
-  /// said was true no earlier: it may have waited in buffers since, however
-  /// long, and no two clocks are compared.
+  /// When this instance sent that message, by its own clock. The report was
+  /// made at this time or later, however long it waited in buffers since, and
+  /// no clocks of two processes are compared.
   instant mEchoedSentAt;
-  /// What the peer knew of the log's tail when it spoke.
+  /// The log's tail as the peer knew it when it reported.
   std::optional<tail_observation> mTail;
   std::vector<domain_observation> mDomains;
 };
--- a/Libraries/LibMembership/PeerSelection.cpp
+++ b/Libraries/LibMembership/PeerSelection.cpp
@@ -10,8 +10,9 @@
 
 namespace {
 
-// Keeps a failure domain's rings apart from those of the fleet.
-constexpr std::uint64_t kDomainSeed = 1ULL << 32;
+// The first seed of a failure domain's rings, so that their hashes differ from
+// those of the fleet's rings.
+constexpr std::uint64_t kDomainRingSeed = 1ULL << 32;
 
 std::uint64_t
 RingPosition(instance_id const& aInstance, std::uint64_t aRing)
@@ -20,7 +21,7 @@
   return XXH3_64bits_withSeed(name.data(), name.size(), aRing);
 }
 
-// Adds the neighbours of aSelf on one ring of aInstances, which holds it.
+// Adds the neighbours of aSelf on one ring of aInstances, which contains it.
 void
 AddNeighbours(instance_id const& aSelf,
               std::span<instance_id const> aInstances,
@@ -28,7 +29,8 @@
               std::set<instance_id>& aChosen)
 {
   std::uint64_t const own = RingPosition(aSelf, aRing);
-  // Distances go around the ring, so the least one is the next neighbour.
+  // Unsigned distances wrap around the ring, so the least one belongs to the
+  // next neighbour.
   std::uint64_t afterDistance = UINT64_MAX;
   std::uint64_t beforeDistance = UINT64_MAX;
   instance_id const* after = nullptr;
@@ -78,7 +80,7 @@
       domain.push_back(candidate.mIdentity.mInstance);
   }
   std::set<instance_id> chosen;
-  if (fleet.size() <= aOptions.mAllToAll) {
+  if (fleet.size() <= aOptions.mFullMeshLimit) {
     chosen.insert(fleet.begin(), fleet.end());
     chosen.erase(aSelf);
     return { chosen.begin(), chosen.end() };
@@ -86,7 +88,7 @@
   for (std::uint64_t ring = 0; ring < aOptions.mFleetRings; ++ring)
     AddNeighbours(aSelf, fleet, ring, chosen);
   for (std::uint64_t ring = 0; ring < aOptions.mDomainRings; ++ring)
-    AddNeighbours(aSelf, domain, kDomainSeed + ring, chosen);
+    AddNeighbours(aSelf, domain, kDomainRingSeed + ring, chosen);
   return { chosen.begin(), chosen.end() };
 }
 
--- a/Libraries/LibMembership/PeerSelection.h
+++ b/Libraries/LibMembership/PeerSelection.h
@@ -11,12 +11,13 @@
 
 /// The instances that aSelf keeps links to, in order of their names.
 ///
-/// Beyond a small fleet, each instance is linked to its two neighbours on each
-/// of a few rings, which sort the instances by independent hashes of their
-/// names. Instances that know the same members agree on the links without a
-/// word; the degree is bounded, one ring alone connects all, and together the
-/// rings are a random regular graph. A member that comes or goes changes only
-/// its neighbours' links.
+/// In a small fleet each instance is linked to every other one. In a larger
+/// one it is linked to its two neighbours on each of a few rings, which order
+/// the instances by independent hashes of their names. Instances that know the
+/// same members agree on the links without communication. The degree is
+/// bounded, a single ring connects all, and the rings together form a random
+/// regular graph. An added or removed member changes only its neighbours'
+/// links.
 std::vector<instance_id>
 SelectPeers(instance_id const& aSelf,
             std::span<member const> aMembers,
--- a/Libraries/LibMembership/PeerSelectionOptions.h
+++ b/Libraries/LibMembership/PeerSelectionOptions.h
@@ -8,11 +8,11 @@
 /// How many peers an instance keeps links to.
 struct peer_selection_options
 {
-  /// Up to this many instances, each has a link to each other one.
-  std::size_t mAllToAll = 9;
-  /// Rings through the instances of one failure domain.
+  /// The largest fleet in which each instance is linked to every other one.
+  std::size_t mFullMeshLimit = 9;
+  /// The number of rings through the instances of one failure domain.
   std::uint32_t mDomainRings = 1;
-  /// Rings through all instances.
+  /// The number of rings through all instances.
   std::uint32_t mFleetRings = 3;
 };
 
--- a/Libraries/LibMembership/QuietLinkOptions.h
+++ b/Libraries/LibMembership/QuietLinkOptions.h
@@ -7,17 +7,17 @@
 
 namespace lycheeseam {
 
-/// Intervals of the supervision of quiet links.
+/// Intervals and limits of quiet_link_supervisor.
 struct quiet_link_options
 {
-  /// Between two heartbeats that leave whatever else the link carries, since
-  /// they tell of the log; zero for none.
-  duration mBeatInterval = std::chrono::milliseconds{ 1000 };
-  /// A link without traffic for this long is pinged.
+  /// The time between two heartbeats, which are sent also over a busy link
+  /// since they report the log's tail; zero for none.
+  duration mHeartbeatInterval = std::chrono::milliseconds{ 1000 };
+  /// A link that receives no traffic for this long is pinged.
   duration mQuietInterval = std::chrono::milliseconds{ 1500 };
-  /// Between two pings of a silent peer.
+  /// The time between two pings of an unresponsive peer.
   duration mPingInterval = std::chrono::milliseconds{ 300 };
-  /// Unanswered pings after which the peer counts as dead.
+  /// The number of unanswered pings after which the peer counts as dead.
   std::uint32_t mPingLimit = 5;
 };
 
--- a/Libraries/LibMembership/QuietLinkSupervisor.cpp
+++ b/Libraries/LibMembership/QuietLinkSupervisor.cpp
@@ -21,15 +21,15 @@
 quiet_link_supervisor::Check(instant aNow)
 {
   if (aNow - mLastReceived < mOptions.mQuietInterval) {
-    if (!IsBeatDue(aNow))
-      return link_check::Quiet;
+    if (!IsHeartbeatDue(aNow))
+      return link_check::None;
     mLastSent = aNow;
-    return link_check::Beat;
+    return link_check::Heartbeat;
   }
   if (mPings > 0 && aNow - mLastSent < mOptions.mPingInterval)
-    return link_check::Quiet;
-  // Pings are counted, not time alone: a process that was itself paused finds
-  // the peer's answers unread and must ask again before it decides.
+    return link_check::None;
+  // Counts pings rather than only time: a process that was itself paused hasn't
+  // read the peer's answers yet and must ping again before it decides.
   if (mPings >= mOptions.mPingLimit)
     return link_check::Dead;
   ++mPings;
@@ -38,10 +38,10 @@
 }
 
 bool
-quiet_link_supervisor::IsBeatDue(instant aNow) const
+quiet_link_supervisor::IsHeartbeatDue(instant aNow) const
 {
-  return mOptions.mBeatInterval > duration::zero() &&
-         aNow - mLastSent >= mOptions.mBeatInterval;
+  return mOptions.mHeartbeatInterval > duration::zero() &&
+         aNow - mLastSent >= mOptions.mHeartbeatInterval;
 }
 
 }
--- a/Libraries/LibMembership/QuietLinkSupervisor.h
+++ b/Libraries/LibMembership/QuietLinkSupervisor.h
@@ -8,9 +8,9 @@
 
 namespace lycheeseam {
 
-/// Takes any traffic for a sign of life and pings only on silence: a few
-/// rapid pings, then the peer counts as dead. (Enea LINX protocols, section
-/// 5.1.5, connection supervision.)
+/// Counts any traffic as a sign that the peer is alive. Pings only a link that
+/// receives none, a few times in quick succession; after that the peer counts
+/// as dead. (Enea LINX protocols, section 5.1.5, connection supervision.)
 class quiet_link_supervisor
 {
 public:
@@ -18,18 +18,19 @@
 
   static constexpr bool kCountsAllTraffic = true;
 
-  /// Anything at all came from the peer.
+  /// Any traffic arrived from the peer.
   void OnReceived(instant aNow);
 
-  /// To be called at least once a ping interval.
+  /// Returns the action that is due; to be called at least once a ping
+  /// interval.
   [[nodiscard]] link_check Check(instant aNow);
 
 private:
-  [[nodiscard]] bool IsBeatDue(instant aNow) const;
+  [[nodiscard]] bool IsHeartbeatDue(instant aNow) const;
 
   quiet_link_options mOptions;
   instant mLastReceived;
-  /// When a heartbeat or a ping left last.
+  /// When the last heartbeat or ping was sent.
   instant mLastSent;
   std::uint32_t mPings = 0;
 };
--- a/Libraries/LibMembership/TailObservation.h
+++ b/Libraries/LibMembership/TailObservation.h
@@ -6,7 +6,7 @@
 
 namespace lycheeseam {
 
-/// Where the log's tail was, and how long ago it was read there by anyone.
+/// The offset of the log's tail, and how long ago an instance read it.
 struct tail_observation
 {
   log_offset mTail;
--- a/Libraries/LibPeer/PeerHubImplementation.h
+++ b/Libraries/LibPeer/PeerHubImplementation.h
@@ -159,7 +159,7 @@
     link_check const check = state.mSupervisor.Check(aNow);
     if (check == link_check::Dead)
       silent.push_back(number);
-    if (check != link_check::Beat && check != link_check::Ping)
+    if (check != link_check::Heartbeat && check != link_check::Ping)
       continue;
     SendHeartbeat(number,
                   state,
--- a/Libraries/LibRouter/ControlCorePeers.cpp
+++ b/Libraries/LibRouter/ControlCorePeers.cpp
@@ -20,7 +20,8 @@
   return peer_heartbeat{ .mIsLeaving = !mStatus.Accepts(now),
                          .mApplied = mState.Offset(),
                          .mTail = mStatus.Knowledge().Tail(now),
-                         .mDomains = mStatus.Knowledge().DomainSigns(now) };
+                         .mDomains =
+                           mStatus.Knowledge().DomainObservations(now) };
 }
 
 void
@@ -71,7 +72,7 @@
     if (one.mIdentity == aPeer)
       domain = DomainCode(one.mFailureDomain);
   }
-  mStatus.Knowledge().OnPeerSign(
+  mStatus.Knowledge().OnPeerObservation(
     peer_observation{ .mPeer = aPeer.mInstance,
                       .mDomain = domain,
                       .mEchoedSentAt = *aHeartbeat.mEcho,
--- a/Libraries/LibRouter/InstanceReport.cpp
+++ b/Libraries/LibRouter/InstanceReport.cpp
@@ -14,9 +14,9 @@
   switch (aVerdict) {
     case freshness_verdict::Confirmed:
       return "confirmed";
-    case freshness_verdict::LogOut:
+    case freshness_verdict::LogUnreachable:
       return "log_out";
-    case freshness_verdict::CutOff:
+    case freshness_verdict::Partitioned:
       return "cut_off";
   }
   return "cut_off";
--- a/Libraries/LibRouter/InstanceReport.h
+++ b/Libraries/LibRouter/InstanceReport.h
@@ -22,7 +22,7 @@
   log_offset mApplied;
   /// The log's tail as last read.
   log_offset mTail;
-  freshness_verdict mFreshness = freshness_verdict::CutOff;
+  freshness_verdict mFreshness = freshness_verdict::Partitioned;
   std::size_t mOpenCalls = 0;
   std::vector<member> mMembers;
   std::map<slot_id, slot_holder> mSlots;
--- a/Libraries/LibRouter/InstanceStatus.cpp
+++ b/Libraries/LibRouter/InstanceStatus.cpp
@@ -26,7 +26,7 @@
                { .mBound = aSettings.mHeartbeat.mFreshnessBound },
                aNow)
   , mDrain({ .mAddressTtl = aSettings.mTimeouts.mAddressTtl,
-             .mFinish = aSettings.mTimeouts.mShutdown })
+             .mFinishTimeout = aSettings.mTimeouts.mShutdown })
 {
 }
 
--- a/Tests/LibMembership/MakeMembers.h
+++ b/Tests/LibMembership/MakeMembers.h
@@ -8,7 +8,7 @@
 
 namespace lycheeseam {
 
-/// Instances i0, i1, ... that stand in failure domains d0, d1, ... in turn.
+/// Instances i0, i1, ... distributed over failure domains d0, d1, ... in turn.
 inline std::vector<member>
 MakeMembers(std::size_t aCount, std::size_t aDomains)
 {
--- a/Tests/LibMembership/TestBackendMembership.cpp
+++ b/Tests/LibMembership/TestBackendMembership.cpp
@@ -32,70 +32,70 @@
 protected:
   backend_membership_test() { mServers.SetPools(Pools()); }
 
-  [[nodiscard]] backend_standing Standing() const
+  [[nodiscard]] backend_availability Availability() const
   {
-    return mServers.Standing(kServer, mNow);
+    return mServers.Availability(kServer, mNow);
   }
 
   backend_membership mServers{ {} };
   instant mNow = instant{} + seconds{ 100 };
 };
 
-TEST_F(backend_membership_test, UsableFromThePoolsAlone)
+TEST_F(backend_membership_test, UsableBeforeItsFirstReportAndRemovedWithItsPool)
 {
-  EXPECT_EQ(Standing(), backend_standing::Usable);
+  EXPECT_EQ(Availability(), backend_availability::Usable);
   mServers.SetPools({});
-  EXPECT_EQ(Standing(), backend_standing::Removed);
+  EXPECT_EQ(Availability(), backend_availability::Removed);
 }
 
-TEST_F(backend_membership_test, LeavingLastsForTheLifeAlone)
+TEST_F(backend_membership_test, LeavingEndsWithTheIncarnation)
 {
   EXPECT_TRUE(mServers.OnReport(Report(1), mNow));
   EXPECT_FALSE(mServers.OnReport(Report(1, member_state::Leaving), mNow));
   mServers.OnReport(Report(1), mNow);
-  EXPECT_EQ(Standing(), backend_standing::Leaving);
+  EXPECT_EQ(Availability(), backend_availability::Leaving);
   EXPECT_TRUE(mServers.OnReport(Report(2), mNow));
-  EXPECT_EQ(Standing(), backend_standing::Usable);
+  EXPECT_EQ(Availability(), backend_availability::Usable);
   EXPECT_FALSE(mServers.OnReport(Report(1, member_state::Leaving), mNow));
-  EXPECT_EQ(Standing(), backend_standing::Usable);
+  EXPECT_EQ(Availability(), backend_availability::Usable);
   EXPECT_EQ(mServers.IncarnationOf(kServer), incarnation{ 2 });
 }
 
-TEST_F(backend_membership_test, ARestartBetweenChoiceAndDispatchIsSeen)
+TEST_F(backend_membership_test, DispatchDetectsARestartSinceTheChoice)
 {
   mServers.OnReport(Report(1), mNow);
   std::optional<incarnation> const chosen = mServers.IncarnationOf(kServer);
-  EXPECT_EQ(mServers.StandingAtDispatch(kServer, chosen, mNow),
-            backend_standing::Usable);
+  EXPECT_EQ(mServers.AvailabilityAtDispatch(kServer, chosen, mNow),
+            backend_availability::Usable);
   mServers.OnReport(Report(2), mNow);
-  EXPECT_EQ(mServers.StandingAtDispatch(kServer, chosen, mNow),
-            backend_standing::Restarted);
+  EXPECT_EQ(mServers.AvailabilityAtDispatch(kServer, chosen, mNow),
+            backend_availability::Restarted);
 }
 
-TEST_F(backend_membership_test, KeepsLivesOverPoolChanges)
+TEST_F(backend_membership_test, APoolChangeKeepsTheIncarnation)
 {
   mServers.OnReport(Report(5), mNow);
   mServers.SetPools(Pools());
   EXPECT_EQ(mServers.IncarnationOf(kServer), incarnation{ 5 });
 }
 
-// A server reports at intervals until it leaves, with or without saying so;
-// reports are lost, late and crossed. Returns the latest time after it left
-// at which it was still usable.
+// A server reports at intervals until it leaves, with or without announcing it.
+// Reports are lost, delayed and reordered. Returns the longest time after it
+// left at which it was still usable.
 duration
-LongestUse(backend_membership_options aOptions, std::uint32_t aSeed)
+LongestUseAfterLeaving(backend_membership_options aOptions, std::uint32_t aSeed)
 {
   std::mt19937 random{ aSeed };
-  std::uniform_int_distribution<int> chance{ 0, 99 };
+  std::uniform_int_distribution<int> percent{ 0, 99 };
   std::uniform_int_distribution<int> late{ 0, 400 };
   backend_membership servers{ aOptions };
   servers.SetPools(Pools());
   instant const left = instant{} + seconds{ 30 };
-  bool const isSaid = chance(random) < 50;
+  bool const isAnnounced = percent(random) < 50;
   std::multimap<instant, backend_report> arrivals;
   for (instant sent{}; sent < left + seconds{ 20 }; sent += seconds{ 1 }) {
-    bool const isLost = chance(random) < 20;
-    if (isLost || (sent >= left && !isSaid))
+    bool const isLost = percent(random) < 20;
+    if (isLost || (sent >= left && !isAnnounced))
       continue;
     member_state const state =
       sent >= left ? member_state::Leaving : member_state::Live;
@@ -107,25 +107,28 @@
       servers.OnReport(arrivals.begin()->second, now);
       arrivals.erase(arrivals.begin());
     }
-    if (servers.Standing(kServer, now) == backend_standing::Usable)
+    if (servers.Availability(kServer, now) == backend_availability::Usable)
       longest = std::max(longest, now - left);
   }
   return longest;
 }
 
-TEST(TestBackendMembership, ALeavingServerGetsNothingNewAfterThreeSeconds)
+TEST(TestBackendMembership, ALeavingServerIsNotUsableAfterThreeSeconds)
 {
   for (std::uint32_t seed = 0; seed < 500; ++seed)
-    EXPECT_LT(LongestUse({}, seed), seconds{ 3 }) << "seed " << seed;
+    EXPECT_LT(LongestUseAfterLeaving({}, seed), seconds{ 3 })
+      << "seed " << seed;
 }
 
-// Without the rule on silence, a server that says nothing is used for ever.
-TEST(TestBackendMembership, TheCheckSeesSilenceTakenForLife)
+// With a very long report timeout, a server that leaves without announcing it
+// stays usable. This shows that the bound above can fail.
+TEST(TestBackendMembership, ALongReportTimeoutKeepsALeavingServerUsable)
 {
   duration longest{};
   for (std::uint32_t seed = 0; seed < 20; ++seed)
-    longest =
-      std::max(longest, LongestUse({ .mReportTimeout = seconds{ 600 } }, seed));
+    longest = std::max(
+      longest,
+      LongestUseAfterLeaving({ .mReportTimeout = seconds{ 600 } }, seed));
   EXPECT_GT(longest, seconds{ 3 });
 }
 
--- a/Tests/LibMembership/TestCallerAddresses.cpp
+++ b/Tests/LibMembership/TestCallerAddresses.cpp
@@ -8,7 +8,7 @@
 namespace lycheeseam {
 namespace {
 
-TEST(TestCallerAddresses, OwnDomainFirstThenOthers)
+TEST(TestCallerAddresses, OwnDomainComesFirst)
 {
   std::vector<member> const members = MakeMembers(8, 4);
   std::vector<caller_address> const found =
@@ -19,7 +19,7 @@
   EXPECT_NE(found[2].mFailureDomain, failure_domain{ "d2" });
 }
 
-TEST(TestCallerAddresses, LeavesSomeOfOtherDomainsInLargeFleets)
+TEST(TestCallerAddresses, LargeFleetsReserveAddressesOfOtherDomains)
 {
   std::vector<member> const members = MakeMembers(330, 12);
   std::vector<caller_address> const found =
@@ -29,7 +29,7 @@
   EXPECT_NE(found[6].mFailureDomain, failure_domain{ "d2" });
 }
 
-TEST(TestCallerAddresses, UnknownDomainsGetAny)
+TEST(TestCallerAddresses, AnUnknownDomainGetsAddressesOfAny)
 {
   std::vector<member> const members = MakeMembers(8, 4);
   EXPECT_EQ(ChooseCallerAddresses(members, {}, 1, {}).size(), 8u);
--- a/Tests/LibMembership/TestDrainState.cpp
+++ b/Tests/LibMembership/TestDrainState.cpp
@@ -11,10 +11,10 @@
 using std::chrono::seconds;
 
 constexpr drain_options kOptions{ .mAddressTtl = seconds{ 10 },
-                                  .mSpread = seconds{ 2 },
-                                  .mFinish = seconds{ 60 } };
+                                  .mPropagationTime = seconds{ 2 },
+                                  .mFinishTimeout = seconds{ 60 } };
 
-TEST(TestDrainState, GoesThroughItsPhases)
+TEST(TestDrainState, PhasesFollowTheConfiguredDurations)
 {
   instant const start{};
   drain_state drain{ kOptions };
@@ -29,10 +29,11 @@
   EXPECT_EQ(drain.Phase(start + seconds{ 72 }, 3), drain_phase::Done);
 }
 
-// Callers learn addresses from peers that hear of the stop late, use them for
-// their whole time to live, and run requests of any length within the bound.
+// Callers get the address from peers that learn of the stop late, use it for up
+// to its time to live, and send requests that take up to the limit. Returns
+// how many of these requests are refused or cut off.
 std::size_t
-CountCutRequests(drain_options const& aOptions, std::uint32_t aSeed)
+CountFailedRequests(drain_options const& aOptions, std::uint32_t aSeed)
 {
   std::mt19937 random{ aSeed };
   auto const upTo = [&random](duration aMost) {
@@ -42,31 +43,31 @@
   instant const stop{};
   drain_state drain{ aOptions };
   drain.Begin(stop);
-  std::size_t cut = 0;
+  std::size_t failed = 0;
   for (int i = 0; i < 200; ++i) {
-    instant const learned = stop + upTo(kOptions.mSpread);
+    instant const learned = stop + upTo(kOptions.mPropagationTime);
     instant const arrives = learned + upTo(kOptions.mAddressTtl);
-    instant const ends = arrives + upTo(kOptions.mFinish);
+    instant const ends = arrives + upTo(kOptions.mFinishTimeout);
     bool const isRefused = !drain.Accepts(arrives);
     bool const isEnded = drain.Phase(ends, 1) == drain_phase::Done;
-    cut += isRefused || isEnded;
+    failed += isRefused || isEnded;
   }
-  return cut;
+  return failed;
 }
 
-TEST(TestDrainState, CutsNoRequestOfACallerWhoWasTold)
+TEST(TestDrainState, NoRequestWithinItsLimitsFails)
 {
   for (std::uint32_t seed = 0; seed < 300; ++seed)
-    EXPECT_EQ(CountCutRequests(kOptions, seed), 0u) << "seed " << seed;
+    EXPECT_EQ(CountFailedRequests(kOptions, seed), 0u) << "seed " << seed;
 }
 
-// A stop that refuses at once must be found by the check above.
-TEST(TestDrainState, RefusingAtOnceCutsRequests)
+// The count above must detect a stop that refuses requests at once.
+TEST(TestDrainState, ImmediateRefusalFailsRequests)
 {
-  drain_options hasty = kOptions;
-  hasty.mAddressTtl = duration::zero();
-  hasty.mSpread = duration::zero();
-  EXPECT_GT(CountCutRequests(hasty, 1), 0u);
+  drain_options immediate = kOptions;
+  immediate.mAddressTtl = duration::zero();
+  immediate.mPropagationTime = duration::zero();
+  EXPECT_GT(CountFailedRequests(immediate, 1), 0u);
 }
 
 }
--- a/Tests/LibMembership/TestFreshness.cpp
+++ b/Tests/LibMembership/TestFreshness.cpp
@@ -16,7 +16,8 @@
   std::uint32_t mSeeds = 0;
 };
 
-// Riga's, Chao Phraya's, and one whose instances aren't all linked.
+// The sizes of the sites Riga and Chao Phraya, and a fleet in which not all
+// instances are linked to each other.
 constexpr fleet_size kSizes[] = { { 7, 3, 150 },
                                   { 8, 4, 150 },
                                   { 48, 12, 40 } };
@@ -37,55 +38,58 @@
   return count;
 }
 
-// Cuts, outages and pauses begin and end at random.
+// Begins and ends log outages, and pauses instances, at random.
 void
-Disturb(virtual_fleet& aFleet)
+InjectFaults(virtual_fleet& aFleet)
 {
-  std::uniform_int_distribution<int> chance{ 0, 99 };
-  if (chance(aFleet.mRandom) < 2)
-    aFleet.mIsLogOut = !aFleet.mIsLogOut;
+  std::uniform_int_distribution<int> percent{ 0, 99 };
+  if (percent(aFleet.mRandom) < 2)
+    aFleet.mIsLogUnreachable = !aFleet.mIsLogUnreachable;
   std::uniform_int_distribution<std::size_t> any{ 0, aFleet.Size() - 1 };
-  if (chance(aFleet.mRandom) < 5) {
+  if (percent(aFleet.mRandom) < 5) {
     std::uniform_int_distribution<int> span{ 100, 9000 };
     aFleet.mNodes[any(aFleet.mRandom)].mPausedUntil =
       aFleet.mNow + milliseconds{ span(aFleet.mRandom) };
   }
 }
 
-// The cut's members and when it began; the cut part is less than half.
-class random_cut
+// A network partition that begins and ends at random; the separated failure
+// domains are less than half of all.
+class random_partition
 {
 public:
   void Change(virtual_fleet& aFleet)
   {
-    std::uniform_int_distribution<int> chance{ 0, 99 };
-    if (chance(aFleet.mRandom) >= 2)
+    std::uniform_int_distribution<int> percent{ 0, 99 };
+    if (percent(aFleet.mRandom) >= 2)
       return;
-    bool const isCut = !aFleet.mCutDomains.empty();
-    aFleet.mCutDomains.clear();
-    if (isCut)
+    bool const isPartitioned = !aFleet.mPartitionedDomains.empty();
+    aFleet.mPartitionedDomains.clear();
+    if (isPartitioned)
       return;
     std::size_t const most = (aFleet.mDomains - 1) / 2;
     std::uniform_int_distribution<std::size_t> count{ 1, most };
     std::size_t const domains = count(aFleet.mRandom);
     for (std::size_t i = 0; i < domains; ++i)
-      aFleet.mCutDomains.insert(i);
+      aFleet.mPartitionedDomains.insert(i);
     mBegan = aFleet.mNow;
   }
 
-  [[nodiscard]] bool HoldsFor(virtual_fleet const& aFleet,
-                              milliseconds aSpan) const
+  [[nodiscard]] bool LastsLongerThan(virtual_fleet const& aFleet,
+                                     milliseconds aSpan) const
   {
-    return !aFleet.mCutDomains.empty() && aFleet.mNow - mBegan > aSpan;
+    return !aFleet.mPartitionedDomains.empty() && aFleet.mNow - mBegan > aSpan;
   }
 
 private:
   instant mBegan{};
 };
 
-// How often an instance decided on more than it may know.
+// The number of verdicts that confirm stale knowledge, or that let an instance
+// decide although it has been partitioned for longer than the bound.
 std::size_t
-CountWrongVerdicts(virtual_fleet const& aFleet, random_cut const& aCut)
+CountWrongVerdicts(virtual_fleet const& aFleet,
+                   random_partition const& aPartition)
 {
   std::size_t wrong = 0;
   for (std::size_t i = 0; i < aFleet.Size(); ++i) {
@@ -95,8 +99,9 @@
     bool const isStale = aFleet.mNodes[i].mApplied < aFleet.TailBefore(kBound);
     if (verdict == freshness_verdict::Confirmed && isStale)
       ++wrong;
-    bool const isApart = aFleet.IsCut(i) && aCut.HoldsFor(aFleet, kBound);
-    if (verdict != freshness_verdict::CutOff && isApart)
+    bool const isPartitionedTooLong =
+      aFleet.IsPartitioned(i) && aPartition.LastsLongerThan(aFleet, kBound);
+    if (verdict != freshness_verdict::Partitioned && isPartitionedTooLong)
       ++wrong;
   }
   return wrong;
@@ -105,20 +110,20 @@
 std::size_t
 RunSchedule(virtual_fleet& aFleet)
 {
-  random_cut cut;
+  random_partition partition;
   std::size_t wrong = 0;
   RunFor(aFleet, seconds{ 2 });
   for (milliseconds done{ 0 }; done < seconds{ 40 };
        done += virtual_fleet::kStep) {
-    Disturb(aFleet);
-    cut.Change(aFleet);
+    InjectFaults(aFleet);
+    partition.Change(aFleet);
     aFleet.Step();
-    wrong += CountWrongVerdicts(aFleet, cut);
+    wrong += CountWrongVerdicts(aFleet, partition);
   }
   return wrong;
 }
 
-TEST(TestFreshness, NeverDecidesOnStaleKnowledge)
+TEST(TestFreshness, NoVerdictIsWrongUnderRandomFaults)
 {
   for (fleet_size const& size : kSizes) {
     for (std::uint32_t seed = 0; seed < size.mSeeds; ++seed) {
@@ -129,25 +134,26 @@
   }
 }
 
-// The same check must find the fault of trusting a message's arrival.
-TEST(TestFreshness, TheCheckSeesTrustInArrival)
+// The same count must detect a wrong rule: dating a peer's report by its
+// arrival instead of by the sending of the echoed message.
+TEST(TestFreshness, DatingReportsByArrivalGivesWrongVerdicts)
 {
   std::size_t wrong = 0;
   for (std::uint32_t seed = 0; seed < 20; ++seed) {
-    virtual_fleet fleet{ 8, 4, seed, sign_time::Arrival };
+    virtual_fleet fleet{ 8, 4, seed, observation_time::Arrival };
     wrong += RunSchedule(fleet);
   }
   EXPECT_GT(wrong, 0u);
 }
 
-TEST(TestFreshness, AllAreConfirmedAgainAfterTrouble)
+TEST(TestFreshness, AllAreConfirmedOnceFaultsEnd)
 {
   for (fleet_size const& size : kSizes) {
     for (std::uint32_t seed = 0; seed < size.mSeeds / 4; ++seed) {
       virtual_fleet fleet{ size.mInstances, size.mDomains, seed };
       RunSchedule(fleet);
-      fleet.mCutDomains.clear();
-      fleet.mIsLogOut = false;
+      fleet.mPartitionedDomains.clear();
+      fleet.mIsLogUnreachable = false;
       RunFor(fleet, seconds{ 14 });
       EXPECT_EQ(Count(fleet, freshness_verdict::Confirmed), fleet.Size())
         << size.mInstances << " instances, seed " << seed;
@@ -155,37 +161,37 @@
   }
 }
 
-TEST(TestFreshness, ALogOutForAllStopsNobody)
+TEST(TestFreshness, ALogOutageForAllPartitionsNoInstance)
 {
   for (fleet_size const& size : kSizes) {
     virtual_fleet fleet{ size.mInstances, size.mDomains, 1 };
     RunFor(fleet, seconds{ 5 });
-    fleet.mIsLogOut = true;
+    fleet.mIsLogUnreachable = true;
     for (int i = 0; i < 400; ++i) {
       fleet.Step();
-      EXPECT_EQ(Count(fleet, freshness_verdict::CutOff), 0u);
+      EXPECT_EQ(Count(fleet, freshness_verdict::Partitioned), 0u);
     }
-    EXPECT_EQ(Count(fleet, freshness_verdict::LogOut), fleet.Size());
+    EXPECT_EQ(Count(fleet, freshness_verdict::LogUnreachable), fleet.Size());
   }
 }
 
-TEST(TestFreshness, AnOutageOfOneDomainStopsNoOtherInALogOutage)
+TEST(TestFreshness, InALogOutageAPartitionedDomainStopsOnlyItself)
 {
   virtual_fleet fleet{ 48, 12, 1 };
   RunFor(fleet, seconds{ 5 });
-  fleet.mIsLogOut = true;
-  fleet.mCutDomains = { 0 };
+  fleet.mIsLogUnreachable = true;
+  fleet.mPartitionedDomains = { 0 };
   RunFor(fleet, seconds{ 10 });
-  EXPECT_EQ(Count(fleet, freshness_verdict::CutOff), 4u);
-  EXPECT_EQ(Count(fleet, freshness_verdict::LogOut), 44u);
+  EXPECT_EQ(Count(fleet, freshness_verdict::Partitioned), 4u);
+  EXPECT_EQ(Count(fleet, freshness_verdict::LogUnreachable), 44u);
 }
 
-// Twelve of 330 instances read the log; the others hear of its tail over a
-// few links, each of which adds up to a heartbeat's interval. So a fleet of
-// this size needs a larger bound than today's.
+// 12 of 330 instances read the log; the tail reaches the others over a few
+// links, each of which adds up to one heartbeat interval. So a fleet of this
+// size needs a larger bound than the default.
 TEST(TestFreshness, ALargeFleetStaysConfirmed)
 {
-  virtual_fleet fleet{ 330, 12, 1, sign_time::Echo, seconds{ 5 } };
+  virtual_fleet fleet{ 330, 12, 1, observation_time::Echo, seconds{ 5 } };
   RunFor(fleet, seconds{ 12 });
   for (int i = 0; i < 60; ++i) {
     fleet.Step();
@@ -193,7 +199,7 @@
   }
 }
 
-TEST(TestFreshness, APausedProcessConfirmsFirst)
+TEST(TestFreshness, AfterAPauseANewReadingIsNeededToConfirm)
 {
   instant now = instant{} + seconds{ 100 };
   freshness own{ instance_id{ "i0" }, {}, now };
@@ -202,7 +208,7 @@
   own.OnTailRead(log_offset{ 1 }, now);
   EXPECT_EQ(own.Assess(now, members, {}), freshness_verdict::Confirmed);
   now += milliseconds{ 2000 };
-  EXPECT_EQ(own.Assess(now, members, {}), freshness_verdict::CutOff);
+  EXPECT_EQ(own.Assess(now, members, {}), freshness_verdict::Partitioned);
   own.OnTick(now);
   EXPECT_NE(own.Assess(now, members, {}), freshness_verdict::Confirmed);
   EXPECT_FALSE(own.Tail(now).has_value());
@@ -210,8 +216,9 @@
   EXPECT_EQ(own.Assess(now, members, {}), freshness_verdict::Confirmed);
 }
 
-// Served a withdrawn key right after a pause: alone, it was most of its fleet.
-TEST(TestFreshness, ALoneInstanceWaitsForTheLogAfterAPause)
+// Guards against a single instance that serves a withdrawn key right after a
+// pause, because it is a majority of its fleet by itself.
+TEST(TestFreshness, ASingleInstanceWaitsForTheLogAfterAPause)
 {
   instance_id const self{ "a" };
   member const only{ .mIdentity = { self, incarnation{ 1 } } };
@@ -222,32 +229,32 @@
   lone.OnTailRead(log_offset{}, now);
   now += 2 * options.mPauseLimit;
   lone.OnTick(now);
-  EXPECT_EQ(lone.Assess(now, members, {}), freshness_verdict::CutOff);
+  EXPECT_EQ(lone.Assess(now, members, {}), freshness_verdict::Partitioned);
   lone.OnTailRead(log_offset{}, now);
   EXPECT_EQ(lone.Assess(now, members, {}), freshness_verdict::Confirmed);
 }
 
-TEST(TestFreshness, ATailCountsOnceItIsApplied)
+TEST(TestFreshness, AReadingConfirmsOnceItsTailIsApplied)
 {
   instant const now = instant{} + seconds{ 100 };
   freshness own{ instance_id{ "i0" }, {}, now };
   std::vector<member> const members = MakeMembers(3, 1);
   own.OnTailRead(log_offset{ 7 }, now);
-  EXPECT_EQ(own.Assess(now, members, {}), freshness_verdict::CutOff);
+  EXPECT_EQ(own.Assess(now, members, {}), freshness_verdict::Partitioned);
   own.OnApplied(log_offset{ 6 });
-  EXPECT_EQ(own.Assess(now, members, {}), freshness_verdict::CutOff);
+  EXPECT_EQ(own.Assess(now, members, {}), freshness_verdict::Partitioned);
   own.OnApplied(log_offset{ 7 });
   EXPECT_EQ(own.Assess(now, members, {}), freshness_verdict::Confirmed);
 }
 
-TEST(TestFreshness, DropsEchoesOfTheFuture)
+TEST(TestFreshness, IgnoresAnEchoFromTheFuture)
 {
   instant const now = instant{} + seconds{ 100 };
   freshness own{ instance_id{ "i0" }, {}, now };
-  own.OnPeerSign({ .mPeer = instance_id{ "i1" },
-                   .mEchoedSentAt = now + seconds{ 1 },
-                   .mTail = tail_observation{} },
-                 now);
+  own.OnPeerObservation({ .mPeer = instance_id{ "i1" },
+                          .mEchoedSentAt = now + seconds{ 1 },
+                          .mTail = tail_observation{} },
+                        now);
   EXPECT_FALSE(own.Tail(now).has_value());
 }
 
--- a/Tests/LibMembership/TestLinkSupervision.cpp
+++ b/Tests/LibMembership/TestLinkSupervision.cpp
@@ -15,40 +15,40 @@
 static_assert(link_supervisor<quiet_link_supervisor>);
 static_assert(link_supervisor<fixed_heartbeat_supervisor>);
 
-constexpr quiet_link_options kQuiet{ .mBeatInterval = duration::zero() };
+constexpr quiet_link_options kQuiet{ .mHeartbeatInterval = duration::zero() };
 
-TEST(TestQuietLinkSupervisor, TrafficNeedsNoPings)
+TEST(TestQuietLinkSupervisor, SendsNoPingsWhileTrafficArrives)
 {
   instant now{};
   quiet_link_supervisor link{ kQuiet, now };
   for (int i = 0; i < 1000; ++i) {
     now += milliseconds{ 100 };
     link.OnReceived(now);
-    EXPECT_EQ(link.Check(now), link_check::Quiet);
+    EXPECT_EQ(link.Check(now), link_check::None);
   }
 }
 
-TEST(TestQuietLinkSupervisor, HeartbeatsLeaveOverABusyLink)
+TEST(TestQuietLinkSupervisor, SendsHeartbeatsOverABusyLink)
 {
   instant now{};
   quiet_link_supervisor link{ {}, now };
-  int beats = 0;
+  int heartbeats = 0;
   for (int i = 0; i < 100; ++i) {
     now += milliseconds{ 100 };
     link.OnReceived(now);
     link_check const check = link.Check(now);
-    ASSERT_TRUE(check == link_check::Quiet || check == link_check::Beat);
-    beats += check == link_check::Beat;
+    ASSERT_TRUE(check == link_check::None || check == link_check::Heartbeat);
+    heartbeats += check == link_check::Heartbeat;
   }
-  EXPECT_EQ(beats, 10);
+  EXPECT_EQ(heartbeats, 10);
 }
 
-TEST(TestQuietLinkSupervisor, ASilentPeerIsPingedThenDead)
+TEST(TestQuietLinkSupervisor, AnUnresponsivePeerIsPingedThenDead)
 {
   instant now{};
   quiet_link_supervisor link{ kQuiet, now };
   std::uint32_t pings = 0;
-  link_check check = link_check::Quiet;
+  link_check check = link_check::None;
   while (check != link_check::Dead && now < instant{} + seconds{ 60 }) {
     now += milliseconds{ 100 };
     check = link.Check(now);
@@ -59,7 +59,7 @@
             kQuiet.mQuietInterval + kQuiet.mPingLimit * kQuiet.mPingInterval);
 }
 
-TEST(TestQuietLinkSupervisor, APauseOfItsOwnIsNoDeathOfThePeer)
+TEST(TestQuietLinkSupervisor, AfterItsOwnPauseItPingsThePeerFirst)
 {
   instant now{};
   quiet_link_supervisor link{ kQuiet, now };
@@ -67,11 +67,12 @@
   EXPECT_EQ(link.Check(now), link_check::Ping);
   now += milliseconds{ 100 };
   link.OnReceived(now);
-  EXPECT_EQ(link.Check(now), link_check::Quiet);
+  EXPECT_EQ(link.Check(now), link_check::None);
 }
 
-// A live peer answers pings, some of which are lost with their links' delay.
-TEST(TestQuietLinkSupervisor, LivePeersStayOverSlowLinks)
+// A live peer answers each ping after a delay of up to 1500 ms. It must never
+// count as dead.
+TEST(TestQuietLinkSupervisor, AnsweringPeersStayAliveOverSlowLinks)
 {
   for (std::uint32_t seed = 0; seed < 300; ++seed) {
     std::mt19937 random{ seed };
@@ -95,18 +96,18 @@
   }
 }
 
-TEST(TestFixedHeartbeatSupervisor, BeatsAlwaysAndEndsOnSilence)
+TEST(TestFixedHeartbeatSupervisor, SendsAtEachIntervalAndTimesOut)
 {
   constexpr fixed_heartbeat_options kFixed;
   instant now{};
   fixed_heartbeat_supervisor link{ kFixed, now };
-  int beats = 0;
+  int heartbeats = 0;
   for (int i = 0; i < 100; ++i) {
     now += milliseconds{ 100 };
     link.OnReceived(now);
-    beats += link.Check(now) == link_check::Beat;
+    heartbeats += link.Check(now) == link_check::Heartbeat;
   }
-  EXPECT_EQ(beats, 10);
+  EXPECT_EQ(heartbeats, 10);
   now += kFixed.mTimeout;
   EXPECT_EQ(link.Check(now), link_check::Dead);
 }
--- a/Tests/LibMembership/TestMemberTable.cpp
+++ b/Tests/LibMembership/TestMemberTable.cpp
@@ -35,14 +35,14 @@
   instant mNow = instant{} + seconds{ 100 };
 };
 
-TEST_F(member_table_test, TheListNamesInstancesWithoutALink)
+TEST_F(member_table_test, ListedInstancesAreUsableWithoutALink)
 {
   EXPECT_EQ(mTable.Members().size(), 1u);
   mTable.SetList(mMembers, mNow);
   EXPECT_EQ(mTable.Usable().size(), 4u);
 }
 
-TEST_F(member_table_test, ALinkKnowsMoreThanALaggingList)
+TEST_F(member_table_test, LinkStateTakesPrecedenceOverALaggingList)
 {
   mTable.SetList(mMembers, mNow);
   mTable.OnPeerUp(mMembers[1]);
@@ -57,7 +57,7 @@
   EXPECT_TRUE(IsUsable(2));
 }
 
-TEST_F(member_table_test, WordOfAnOlderLifeIsDropped)
+TEST_F(member_table_test, ReportsOfAnOlderIncarnationAreIgnored)
 {
   mTable.OnPeerUp(Restarted(1));
   mTable.OnPeerDown(mMembers[1].mIdentity, mNow);
@@ -76,7 +76,7 @@
   EXPECT_TRUE(IsUsable(1));
 }
 
-TEST_F(member_table_test, UnlistedInstancesStayWhileLinkedAndForAGrace)
+TEST_F(member_table_test, UnlistedInstancesStayWhileLinkedAndForTheGracePeriod)
 {
   std::vector<member> const others(mMembers.begin(), mMembers.begin() + 3);
   mTable.OnPeerUp(mMembers[3]);
@@ -89,7 +89,7 @@
   EXPECT_EQ(mTable.Members().size(), 3u);
 }
 
-TEST_F(member_table_test, NeverDropsItself)
+TEST_F(member_table_test, KeepsItselfWhenUnlisted)
 {
   mTable.SetList({}, mNow);
   EXPECT_TRUE(IsUsable(0));
--- a/Tests/LibMembership/TestPeerSelection.cpp
+++ b/Tests/LibMembership/TestPeerSelection.cpp
@@ -28,7 +28,8 @@
   return links;
 }
 
-// The survivors that one of them reaches over links between survivors.
+// The number of survivors that the first one reaches over links between
+// survivors.
 std::size_t
 CountReached(link_map const& aLinks, std::set<instance_id> const& aSurvivors)
 {
@@ -54,17 +55,17 @@
   return names;
 }
 
-// Without a failure domain, and without a tenth of the others.
+// All instances but those of one failure domain and a random tenth of the rest.
 std::set<instance_id>
 Survivors(std::span<member const> aMembers,
-          std::size_t aLostDomain,
+          std::size_t aFailedDomain,
           std::mt19937& aRandom)
 {
   std::set<instance_id> names;
   std::uniform_int_distribution<int> tenth{ 0, 9 };
-  failure_domain const lost{ "d" + std::to_string(aLostDomain) };
+  failure_domain const failed{ "d" + std::to_string(aFailedDomain) };
   for (member const& each : aMembers) {
-    if (each.mFailureDomain != lost && tenth(aRandom) != 0)
+    if (each.mFailureDomain != failed && tenth(aRandom) != 0)
       names.insert(each.mIdentity.mInstance);
   }
   return names;
@@ -86,7 +87,7 @@
   return split;
 }
 
-TEST(TestPeerSelection, SmallFleetsAreAllToAll)
+TEST(TestPeerSelection, SmallFleetsAreFullMeshes)
 {
   for (auto const& [self, peers] : LinksOf(MakeMembers(8, 4)))
     EXPECT_EQ(peers.size(), 7u);
@@ -117,13 +118,13 @@
   EXPECT_EQ(CountSplitFleets(kOptions), 0u);
 }
 
-// One ring alone, which the check above must find too weak.
-TEST(TestPeerSelection, OneRingSplits)
+// The check above must detect that a single ring is too weak.
+TEST(TestPeerSelection, ASingleRingSplits)
 {
   EXPECT_GT(CountSplitFleets({ .mDomainRings = 0, .mFleetRings = 1 }), 0u);
 }
 
-TEST(TestPeerSelection, AComingInstanceChangesItsNeighboursAlone)
+TEST(TestPeerSelection, AnAddedInstanceChangesOnlyItsNeighboursLinks)
 {
   std::vector<member> members = MakeMembers(kInstances, kDomains);
   link_map const after = LinksOf(members);
--- a/Tests/LibMembership/VirtualFleet.h
+++ b/Tests/LibMembership/VirtualFleet.h
@@ -15,24 +15,25 @@
 
 namespace lycheeseam {
 
-/// What a fleet takes for the time of a peer's words.
-enum class sign_time
+/// How a fleet dates a peer's report.
+enum class observation_time
 {
-  /// The sending of the message that the peer echoes.
+  /// By the sending of the message that the peer echoes.
   Echo,
-  /// The arrival of the words, which is wrong: they may have waited.
+  /// By the arrival of the report. This is wrong, since the report may have
+  /// waited in buffers.
   Arrival,
 };
 
-/// Instances that exchange heartbeats in virtual time, with a log that grows,
-/// cuts between failure domains, log outages and pauses.
+/// Simulates instances that exchange heartbeats in virtual time, with a growing
+/// log, partitions between failure domains, log outages and pauses.
 class virtual_fleet
 {
 public:
   using milliseconds = std::chrono::milliseconds;
 
   static constexpr milliseconds kStep{ 50 };
-  static constexpr milliseconds kBeat{ 1000 };
+  static constexpr milliseconds kHeartbeatInterval{ 1000 };
   static constexpr milliseconds kBound{ 3000 };
 
   struct node
@@ -42,19 +43,19 @@
     std::vector<std::size_t> mPeers;
     log_offset mApplied;
     instant mPausedUntil{};
-    /// When each peer sent the last heartbeat that came, by its clock.
+    /// When each peer sent its last heartbeat that arrived, by its clock.
     std::map<std::size_t, instant> mPeerSentAt;
   };
 
   virtual_fleet(std::size_t aCount,
                 std::size_t aDomains,
                 std::uint32_t aSeed,
-                sign_time aSignTime = sign_time::Echo,
+                observation_time aObservationTime = observation_time::Echo,
                 milliseconds aBound = kBound)
     : mMembers(MakeMembers(aCount, aDomains))
     , mDomains(aDomains)
     , mRandom(aSeed)
-    , mSignTime(aSignTime)
+    , mObservationTime(aObservationTime)
     , mBound(aBound)
   {
     for (member const& self : mMembers)
@@ -68,7 +69,7 @@
     Deliver();
     for (std::size_t i = 0; i < mNodes.size(); ++i) {
       if (!IsPaused(i))
-        Run(i);
+        RunNode(i);
     }
   }
 
@@ -78,7 +79,7 @@
     return self.mFreshness.Assess(mNow, mMembers, self.mLinked);
   }
 
-  /// The tail as it was some time ago.
+  /// The log's tail as it was aAge ago.
   [[nodiscard]] log_offset TailBefore(milliseconds aAge) const
   {
     std::size_t const steps = static_cast<std::size_t>(aAge / kStep);
@@ -91,18 +92,18 @@
   {
     return mNodes[aNode].mPausedUntil > mNow;
   }
-  [[nodiscard]] bool IsCut(std::size_t aNode) const
+  [[nodiscard]] bool IsPartitioned(std::size_t aNode) const
   {
-    return mCutDomains.contains(aNode % mDomains);
+    return mPartitionedDomains.contains(aNode % mDomains);
   }
 
   std::vector<member> mMembers;
   std::size_t mDomains;
   instant mNow = instant{} + std::chrono::hours{ 1 };
   std::vector<node> mNodes;
-  /// These domains reach each other, but neither the rest nor the log.
-  std::set<std::size_t> mCutDomains;
-  bool mIsLogOut = false;
+  /// These domains reach each other, but neither the other domains nor the log.
+  std::set<std::size_t> mPartitionedDomains;
+  bool mIsLogUnreachable = false;
   std::mt19937 mRandom;
 
 private:
@@ -131,15 +132,16 @@
     return made;
   }
 
-  void Run(std::size_t aNode)
+  void RunNode(std::size_t aNode)
   {
     node& self = mNodes[aNode];
     self.mFreshness.OnTick(mNow);
-    bool const isBeat =
-      (mNow.time_since_epoch() / kStep + aNode) % (kBeat / kStep) == 0;
-    if (!isBeat)
+    bool const isHeartbeatDue = (mNow.time_since_epoch() / kStep + aNode) %
+                                  (kHeartbeatInterval / kStep) ==
+                                0;
+    if (!isHeartbeatDue)
       return;
-    if (!mIsLogOut && !IsCut(aNode) && aNode < kReaders) {
+    if (!mIsLogUnreachable && !IsPartitioned(aNode) && aNode < kReaders) {
       self.mApplied = mTails.back();
       self.mFreshness.OnTailRead(self.mApplied, mNow);
       self.mFreshness.OnApplied(self.mApplied);
@@ -150,21 +152,22 @@
 
   void Send(std::size_t aFrom, std::size_t aTo)
   {
-    if (IsCut(aFrom) != IsCut(aTo))
+    if (IsPartitioned(aFrom) != IsPartitioned(aTo))
       return;
     node const& self = mNodes[aFrom];
     std::uniform_int_distribution<int> delay{ 1, 60 };
-    auto const heard = self.mPeerSentAt.find(aTo);
-    mMessages.push_back({ .mDue = mNow + milliseconds{ delay(mRandom) },
-                          .mFrom = aFrom,
-                          .mTo = aTo,
-                          .mSentAt = mNow,
-                          .mEcho = heard == self.mPeerSentAt.end()
-                                     ? std::nullopt
-                                     : std::optional<instant>{ heard->second },
-                          .mApplied = self.mApplied,
-                          .mTail = self.mFreshness.Tail(mNow),
-                          .mDomains = self.mFreshness.DomainSigns(mNow) });
+    auto const lastHeartbeat = self.mPeerSentAt.find(aTo);
+    mMessages.push_back(
+      { .mDue = mNow + milliseconds{ delay(mRandom) },
+        .mFrom = aFrom,
+        .mTo = aTo,
+        .mSentAt = mNow,
+        .mEcho = lastHeartbeat == self.mPeerSentAt.end()
+                   ? std::nullopt
+                   : std::optional<instant>{ lastHeartbeat->second },
+        .mApplied = self.mApplied,
+        .mTail = self.mFreshness.Tail(mNow),
+        .mDomains = self.mFreshness.DomainObservations(mNow) });
   }
 
   void Deliver()
@@ -186,25 +189,26 @@
     node& self = mNodes[aMessage.mTo];
     self.mFreshness.OnTick(mNow);
     self.mPeerSentAt[aMessage.mFrom] = aMessage.mSentAt;
-    // The log's entries travel with the heartbeats here.
+    // In this simulation heartbeats carry the log's entries too.
     self.mApplied = std::max(self.mApplied, aMessage.mApplied);
     self.mFreshness.OnApplied(self.mApplied);
     if (!aMessage.mEcho)
       return;
     member const& peer = mMembers[aMessage.mFrom];
-    self.mFreshness.OnPeerSign(
+    self.mFreshness.OnPeerObservation(
       { .mPeer = peer.mIdentity.mInstance,
         .mDomain = DomainCode(peer.mFailureDomain),
-        .mEchoedSentAt = mSignTime == sign_time::Echo ? *aMessage.mEcho : mNow,
+        .mEchoedSentAt =
+          mObservationTime == observation_time::Echo ? *aMessage.mEcho : mNow,
         .mTail = aMessage.mTail,
         .mDomains = aMessage.mDomains },
       mNow);
   }
 
-  // Few instances read the log; the others know of it from peers alone.
+  // The first instances read the log; the others learn of it only from peers.
   static constexpr std::size_t kReaders = 12;
 
-  sign_time mSignTime;
+  observation_time mObservationTime;
   milliseconds mBound;
   std::vector<message> mMessages;
   std::vector<log_offset> mTails{ log_offset{ 1 } };
