--- a/Bench/Decisions/RequestState.h
+++ b/Bench/Decisions/RequestState.h
@@ -3,7 +3,7 @@
 #include <LibAdmission/BudgetState.h>
 #include <LibCore/Instant.h>
 #include <LibPlacement/BlockAnswer.h>
-#include <LibPlacement/KnowledgeState.h>
+#include <LibPlacement/LookupState.h>
 #include <LibPlacement/PlacementChoice.h>
 
 #include <cstdint>
@@ -29,7 +29,7 @@
   budget_state mBudget = budget_state::Within;
   request_fate mFate = request_fate::Open;
   block_answer mKnown;
-  knowledge_state mKnowledge = knowledge_state::Missing;
+  lookup_state mLookupState = lookup_state::Missing;
   placement_choice mChoice;
   std::uint32_t mAttempts = 0;
   bool mHasFirstToken = false;
--- a/Bench/Decisions/SimulatedRequests.cpp
+++ b/Bench/Decisions/SimulatedRequests.cpp
@@ -42,7 +42,7 @@
   duration const hop = isOwn ? duration{} : Hop(owner, request.mInstance);
   if (!isOwn &&
       std::uniform_real_distribution<double>{}(mRandom) < kLookupLoss) {
-    mScheduler.After(lookup_deadlines::kPatience,
+    mScheduler.After(lookup_deadlines::kAnswerTimeout,
                      [this, aRequest]() { UseOwnSends(aRequest); });
     return;
   }
@@ -52,7 +52,7 @@
       shard.mShard.Answer({ .mBlocks = mArrivals[aRequest].mBlocks },
                           shard.Candidates(mScheduler.Now()),
                           mScheduler.Now());
-    state.mKnowledge = knowledge_state::Answered;
+    state.mLookupState = lookup_state::Answered;
     if (!isOwn)
       mLookupBytes +=
         2 * (2 * kFrameBytes +
@@ -76,7 +76,7 @@
                                          instance.Candidates(mScheduler.Now()),
                                          mScheduler.Now());
   if (!state.mKnown.mKnown.empty())
-    state.mKnowledge = knowledge_state::Answered;
+    state.mLookupState = lookup_state::Answered;
   Enqueue(aRequest);
 }
 
@@ -120,7 +120,7 @@
   request_state& state = mStates[aRequest];
   if (mOptions.mPolicy == policy_kind::Oracle) {
     state.mKnown = ExactAnswer(aRequest);
-    state.mKnowledge = knowledge_state::Answered;
+    state.mLookupState = lookup_state::Answered;
   }
   router_instance& instance = mInstances[aInstance];
   state.mChoice =
@@ -128,7 +128,7 @@
                        .mRoot = request.mBlocks[0],
                        .mPromptTokens = request.mPromptTokens,
                        .mKnown = state.mKnown.mKnown,
-                       .mKnowledge = state.mKnowledge,
+                       .mLookupState = state.mLookupState,
                        .mStoredTokens = state.mKnown.mStoredTokens },
                      mScheduler.Now());
   if (state.mAttempts++ == 0)
@@ -203,7 +203,7 @@
     state.mFate = request_fate::Lost;
     return;
   }
-  state.mKnowledge = knowledge_state::Missing;
+  state.mLookupState = lookup_state::Missing;
   Lookup(aRequest);
 }
 
--- a/Bench/Slopes/ChoiceSlope.cpp
+++ b/Bench/Slopes/ChoiceSlope.cpp
@@ -50,7 +50,7 @@
   prefix_cost_policy const policy;
   placement_request request{ .mPromptTokens = 8000,
                              .mKnown = known,
-                             .mKnowledge = knowledge_state::Answered };
+                             .mLookupState = lookup_state::Answered };
   std::size_t chosen = 0;
   processor_timer const timer;
   for (std::size_t index = 0; index < kChoices; ++index) {
--- a/Libraries/LibPlacement/BlockAnswer.h
+++ b/Libraries/LibPlacement/BlockAnswer.h
@@ -7,12 +7,13 @@
 
 namespace lycheeseam {
 
-/// The owner's answer to a block_lookup: the longest holders first.
+/// The prefix owner's answer to a block_lookup. Servers with the longest cached
+/// prefix come first.
 struct block_answer
 {
   lookup_number mNumber;
   std::vector<known_prefix> mKnown;
-  /// Tokens from the prompt's start on that the KV store holds.
+  /// The number of tokens, from the prompt's start on, in the KV store.
   token_count mStoredTokens = 0;
 
   bool operator==(block_answer const&) const = default;
--- a/Libraries/LibPlacement/BlockHash.h
+++ b/Libraries/LibPlacement/BlockHash.h
@@ -4,17 +4,17 @@
 
 namespace lycheeseam {
 
-/// Names one block of a prompt together with all that precedes it, its
-/// workspace and its weights; equal hashes mean an equal prefix.
+/// The hash of one block of a prompt, all blocks before it, its workspace and
+/// its weights; equal hashes mean an equal prefix.
 ///
-/// The upper 16 bits are those of the prompt's root, so that a block by itself
-/// tells which shard knows of it. The hash is no secret and no signature.
+/// The upper 16 bits are those of the prompt's root, so that any block's hash
+/// determines its shard. The hash is neither a secret nor a signature.
 using block_hash = ordinal<struct block_hash_tag>;
 
-/// How many low bits of a block_hash are the block's own.
+/// The number of low bits of a block_hash that are specific to the block.
 inline constexpr unsigned kOwnHashBits = 48;
 
-/// What all blocks with one root have in common; shards are chosen by it.
+/// The bits that all blocks with one root share; they select the shard.
 constexpr std::uint64_t
 ShardKey(block_hash aBlock)
 {
--- a/Libraries/LibPlacement/BlockLookup.h
+++ b/Libraries/LibPlacement/BlockLookup.h
@@ -8,7 +8,7 @@
 
 namespace lycheeseam {
 
-/// Asks a prefix's owner where the blocks of a prompt are cached.
+/// A query to the prefix owner: which servers cache the blocks of a prompt.
 struct block_lookup
 {
   lookup_number mNumber;
--- a/Libraries/LibPlacement/BlockMap.cpp
+++ b/Libraries/LibPlacement/BlockMap.cpp
@@ -7,14 +7,14 @@
 
 namespace {
 
-// 30 bits of these reach over 124 days of a machine's uptime.
+// 30 bits of these ticks cover 124 days of a machine's uptime.
 constexpr duration kTick = std::chrono::milliseconds{ 10 };
 
-// How much of the way to a block's age the guess of a retention moves when an
-// answer shows the guess to be wrong.
+// When an answer shows that the estimated retention is wrong, the estimate
+// moves by this share of its difference from the block's age.
 constexpr double kRetentionStep = 0.2;
 
-// Bounds the memory when answers stay away; about 300 bytes each.
+// Bounds the memory when answers are missing; an entry takes about 300 bytes.
 constexpr std::size_t kMaxPending = 1024;
 
 std::uint32_t
@@ -29,7 +29,7 @@
   return instant{} + aTick * kTick;
 }
 
-/// A retention moved towards the age of a block that shows it to be wrong.
+/// The retention moved towards the age of a block that shows it to be wrong.
 duration
 MovedTowards(duration aRetention, duration aAge)
 {
@@ -53,15 +53,15 @@
   cached_server& server = found->second;
   if (!isNew && server.mIncarnation >= aIncarnation)
     return;
-  // A new number orphans all entries of older lives at once; they are never
-  // found again, and full buckets reuse their places.
+  // The new number makes all entries of older incarnations unreachable at once;
+  // full buckets overwrite them.
   server = cached_server{ .mIncarnation = aIncarnation,
                           .mNumber = ++mLastServerNumber,
-                          .mRetention = mOptions.mFirstRetention };
+                          .mRetention = mOptions.mInitialRetention };
 }
 
 void
-block_map::OnGone(backend_server_id const& aServer)
+block_map::OnRemoved(backend_server_id const& aServer)
 {
   mServers.erase(aServer);
 }
@@ -72,13 +72,13 @@
   cached_server* const server = ServerOf(aBatch.mServer, aBatch.mIncarnation);
   if (server == nullptr)
     return;
-  bool const isNewest = FollowSequence(*server, aBatch, aNow);
+  bool const isNewest = RecordSequence(*server, aBatch, aNow);
   for (cache_event const& event : aBatch.mEvents) {
-    // A batch that was passed may say "stored" of what a newer one removed.
+    // A batch that arrives late may report as stored what a newer one removed.
     if (event.mChange == cache_change::Removed)
       mTable.Erase(event.mBlock, server->mNumber);
     else if (isNewest)
-      RememberEvent(*server, event.mBlock, aNow);
+      RecordEvent(*server, event.mBlock, aNow);
   }
 }
 
@@ -91,9 +91,9 @@
   cached_server const* const server = ServerOf(aServer, aIncarnation);
   if (server == nullptr)
     return;
-  RememberSend(*server, aBlocks, aNow);
+  RecordSend(*server, aBlocks, aNow);
   for (block_hash const block : aBlocks)
-    RememberRequest(*server, block, aNow);
+    RecordRequest(*server, block, aNow);
 }
 
 void
@@ -108,10 +108,10 @@
     return;
   std::size_t const cachedBlocks =
     static_cast<std::size_t>(aCachedTokens / kBlockTokens);
-  LearnRetention(*server, aBlocks, cachedBlocks);
-  // Whatever was missing has been computed, so the server now holds it all.
+  AdjustRetention(*server, aBlocks, cachedBlocks);
+  // The server has computed what was missing, so it now holds all blocks.
   for (block_hash const block : aBlocks)
-    RememberRequest(*server, block, aNow);
+    RecordRequest(*server, block, aNow);
 }
 
 known_prefix
@@ -125,7 +125,7 @@
   if (found == mServers.end() || found->second.mIncarnation != aIncarnation)
     return known;
   known.mTokens =
-    static_cast<token_count>(CountTrusted(found->second, aBlocks, aNow)) *
+    static_cast<token_count>(CountLikelyCached(found->second, aBlocks, aNow)) *
     kBlockTokens;
   return known;
 }
@@ -139,39 +139,40 @@
 }
 
 bool
-block_map::FollowSequence(cached_server& aServer,
+block_map::RecordSequence(cached_server& aServer,
                           cache_event_batch const& aBatch,
                           instant aNow)
 {
-  if (aServer.mHasSeenEvents && aBatch.mLast < aServer.mNextSequence)
+  if (aServer.mHasReceivedEvents && aBatch.mLast < aServer.mNextSequence)
     return false;
-  if (aServer.mHasSeenEvents && aBatch.mFirst > aServer.mNextSequence)
+  if (aServer.mHasReceivedEvents && aBatch.mFirst > aServer.mNextSequence)
     aServer.mLastGapTick = TickOf(aNow);
   aServer.mNextSequence = aBatch.mLast.Next();
-  aServer.mHasSeenEvents = true;
+  aServer.mHasReceivedEvents = true;
   aServer.mLastBatchAt = aNow;
   return true;
 }
 
 void
-block_map::RememberEvent(cached_server const& aServer,
-                         block_hash aBlock,
-                         instant aNow)
+block_map::RecordEvent(cached_server const& aServer,
+                       block_hash aBlock,
+                       instant aNow)
 {
   block_entry entry = EntryOf(aServer, aBlock);
-  // The batch that shows a gap comes in the gap's own tick, yet is after it.
-  entry.mSeenTick = std::max(TickOf(aNow), aServer.mLastGapTick + 1);
+  // The batch that reveals a gap arrives in the gap's tick but comes after it.
+  entry.mConfirmedTick = std::max(TickOf(aNow), aServer.mLastGapTick + 1);
   entry.mIsFromEvent = 1;
   mTable.Put(entry);
 }
 
 void
-block_map::RememberRequest(cached_server const& aServer,
-                           block_hash aBlock,
-                           instant aNow)
+block_map::RecordRequest(cached_server const& aServer,
+                         block_hash aBlock,
+                         instant aNow)
 {
   block_entry entry = EntryOf(aServer, aBlock);
-  entry.mSeenTick = std::max<std::uint32_t>(TickOf(aNow), entry.mSeenTick);
+  entry.mConfirmedTick =
+    std::max<std::uint32_t>(TickOf(aNow), entry.mConfirmedTick);
   entry.mIsFromRequest = 1;
   mTable.Put(entry);
 }
@@ -183,34 +184,34 @@
   if (found == nullptr)
     return block_entry{ .mBlock = aBlock, .mServerNumber = aServer.mNumber };
   block_entry entry = *found;
-  if (entry.mSeenTick <= aServer.mLastGapTick)
+  if (entry.mConfirmedTick <= aServer.mLastGapTick)
     entry.mIsFromEvent = 0;
   return entry;
 }
 
 bool
-block_map::IsTrusted(cached_server const& aServer,
-                     block_hash aBlock,
-                     instant aNow) const
+block_map::IsLikelyCached(cached_server const& aServer,
+                          block_hash aBlock,
+                          instant aNow) const
 {
   block_entry const entry = EntryOf(aServer, aBlock);
-  bool const isFollowed =
-    aNow - aServer.mLastBatchAt <= mOptions.mLongestSilence;
-  if (entry.mIsFromEvent == 1 && isFollowed)
+  bool const isStreamLive =
+    aNow - aServer.mLastBatchAt <= mOptions.mStreamTimeout;
+  if (entry.mIsFromEvent == 1 && isStreamLive)
     return true;
   return entry.mIsFromRequest == 1 &&
-         aNow - TimeOf(entry.mSeenTick) <= aServer.mRetention;
+         aNow - TimeOf(entry.mConfirmedTick) <= aServer.mRetention;
 }
 
 std::size_t
-block_map::CountTrusted(cached_server const& aServer,
-                        std::span<block_hash const> aBlocks,
-                        instant aNow) const
+block_map::CountLikelyCached(cached_server const& aServer,
+                             std::span<block_hash const> aBlocks,
+                             instant aNow) const
 {
-  // Halving would step over a hole that a removal left. Most servers hold no
-  // block of a prompt, and for them the first look ends the search.
+  // A binary search could miss a removed block in the middle. Most servers hold
+  // no block of a prompt, so that the first lookup ends the search.
   auto const end = std::ranges::find_if_not(aBlocks, [&](block_hash aBlock) {
-    return IsTrusted(aServer, aBlock, aNow);
+    return IsLikelyCached(aServer, aBlock, aNow);
   });
   return static_cast<std::size_t>(end - aBlocks.begin());
 }
@@ -219,31 +220,31 @@
 block_map::SendKey(cached_server const& aServer,
                    std::span<block_hash const> aBlocks)
 {
-  // Equal prompts under way at once share a key; the later one replaces the
-  // earlier, which costs one lesson.
+  // Equal prompts in flight share a key. The later one replaces the earlier,
+  // which loses one adjustment of the retention.
   return aBlocks.back().Value() ^ aServer.mNumber;
 }
 
 void
-block_map::RememberSend(cached_server const& aServer,
-                        std::span<block_hash const> aBlocks,
-                        instant aNow)
+block_map::RecordSend(cached_server const& aServer,
+                      std::span<block_hash const> aBlocks,
+                      instant aNow)
 {
   if (aBlocks.empty())
     return;
   if (mPending.size() >= kMaxPending)
     mPending.erase(mPending.begin());
   pending_send send{ .mSentTick = TickOf(aNow) };
-  send.mSeenTicks.reserve(aBlocks.size());
+  send.mConfirmedTicks.reserve(aBlocks.size());
   for (block_hash const block : aBlocks)
-    send.mSeenTicks.push_back(EntryOf(aServer, block).mSeenTick);
+    send.mConfirmedTicks.push_back(EntryOf(aServer, block).mConfirmedTick);
   mPending.insert_or_assign(SendKey(aServer, aBlocks), std::move(send));
 }
 
 void
-block_map::LearnRetention(cached_server& aServer,
-                          std::span<block_hash const> aBlocks,
-                          std::size_t aCachedBlocks)
+block_map::AdjustRetention(cached_server& aServer,
+                           std::span<block_hash const> aBlocks,
+                           std::size_t aCachedBlocks)
 {
   if (aBlocks.empty())
     return;
@@ -254,20 +255,20 @@
   mPending.erase(found);
   auto const ageOf = [&send](std::size_t aIndex) -> duration {
     return (send.mSentTick -
-            std::min(send.mSeenTicks[aIndex], send.mSentTick)) *
+            std::min(send.mConfirmedTicks[aIndex], send.mSentTick)) *
            kTick;
   };
-  std::size_t const cached = std::min(aCachedBlocks, send.mSeenTicks.size());
-  // The last block that was still there, and the first that was gone.
-  if (cached > 0 && send.mSeenTicks[cached - 1] != 0 &&
+  std::size_t const cached =
+    std::min(aCachedBlocks, send.mConfirmedTicks.size());
+  // The last block that was still cached, and the first that was evicted.
+  if (cached > 0 && send.mConfirmedTicks[cached - 1] != 0 &&
       ageOf(cached - 1) > aServer.mRetention)
     aServer.mRetention = MovedTowards(aServer.mRetention, ageOf(cached - 1));
-  if (cached < send.mSeenTicks.size() && send.mSeenTicks[cached] != 0 &&
-      ageOf(cached) < aServer.mRetention)
+  if (cached < send.mConfirmedTicks.size() &&
+      send.mConfirmedTicks[cached] != 0 && ageOf(cached) < aServer.mRetention)
     aServer.mRetention = MovedTowards(aServer.mRetention, ageOf(cached));
-  aServer.mRetention = std::clamp(aServer.mRetention,
-                                  mOptions.mShortestRetention,
-                                  mOptions.mLongestRetention);
+  aServer.mRetention = std::clamp(
+    aServer.mRetention, mOptions.mMinRetention, mOptions.mMaxRetention);
 }
 
 }
--- a/Libraries/LibPlacement/BlockMap.h
+++ b/Libraries/LibPlacement/BlockMap.h
@@ -12,42 +12,43 @@
 
 namespace lycheeseam {
 
-/// Which blocks backend servers are believed to hold.
+/// Records which blocks backend servers likely have cached.
 ///
-/// Joined from engines' cache events, which come late and with gaps, and from
-/// requests that were sent and answered. What a dead incarnation held, and what
-/// only events before a gap said, is never counted.
+/// The sources are engines' cache events, which arrive late and with gaps, and
+/// requests that were sent and answered. Blocks of an older incarnation, and
+/// blocks reported only by events before a gap, are never counted.
 class block_map
 {
 public:
   explicit block_map(block_map_options aOptions = {});
 
-  /// A server is seen in some life. A newer one drops all that older ones
-  /// held; an older one is ignored.
+  /// A server runs the incarnation. A newer one discards the blocks of all
+  /// older ones; an older one is ignored.
   void OnIncarnation(backend_server_id const& aServer,
                      incarnation aIncarnation);
 
-  /// A server is gone for good.
-  void OnGone(backend_server_id const& aServer);
+  /// A server was removed for good.
+  void OnRemoved(backend_server_id const& aServer);
 
-  /// Events came from a server's stream.
+  /// A batch arrived from a server's event stream.
   void OnEvents(cache_event_batch const& aBatch, instant aNow);
 
-  /// A request with these blocks was sent: the server will soon hold them.
+  /// A request with these blocks was sent, so the server will soon cache them.
   void OnSent(backend_server_id const& aServer,
               incarnation aIncarnation,
               std::span<block_hash const> aBlocks,
               instant aNow);
 
-  /// The server answered, and counted the cached tokens that it found.
+  /// The server answered such a request and reported how many of its tokens
+  /// were cached.
   void OnAnswer(backend_server_id const& aServer,
                 incarnation aIncarnation,
                 std::span<block_hash const> aBlocks,
                 token_count aCachedTokens,
                 instant aNow);
 
-  /// How much of a prompt the server's present life holds; nothing when it
-  /// isn't the one that the map knows.
+  /// How much of a prompt the server's incarnation has cached; nothing if the
+  /// map knows the server by another incarnation.
   [[nodiscard]] known_prefix Find(backend_server_id const& aServer,
                                   incarnation aIncarnation,
                                   std::span<block_hash const> aBlocks,
@@ -59,34 +60,35 @@
 private:
   cached_server* ServerOf(backend_server_id const& aServer,
                           incarnation aIncarnation);
-  /// Counts a batch's sequence; false for one that newer ones passed.
-  static bool FollowSequence(cached_server& aServer,
+  /// Records a batch's sequence numbers; false if a newer batch came before.
+  static bool RecordSequence(cached_server& aServer,
                              cache_event_batch const& aBatch,
                              instant aNow);
-  void RememberEvent(cached_server const& aServer,
+  void RecordEvent(cached_server const& aServer,
+                   block_hash aBlock,
+                   instant aNow);
+  void RecordRequest(cached_server const& aServer,
                      block_hash aBlock,
                      instant aNow);
-  void RememberRequest(cached_server const& aServer,
-                       block_hash aBlock,
-                       instant aNow);
-  /// What is known of a block, less what a gap has put in doubt.
+  /// The block's entry, without the mark of an event from before a gap.
   [[nodiscard]] block_entry EntryOf(cached_server const& aServer,
                                     block_hash aBlock) const;
-  [[nodiscard]] bool IsTrusted(cached_server const& aServer,
-                               block_hash aBlock,
-                               instant aNow) const;
-  [[nodiscard]] std::size_t CountTrusted(cached_server const& aServer,
-                                         std::span<block_hash const> aBlocks,
-                                         instant aNow) const;
-  /// The key of a prompt that is under way to a server's life.
+  [[nodiscard]] bool IsLikelyCached(cached_server const& aServer,
+                                    block_hash aBlock,
+                                    instant aNow) const;
+  [[nodiscard]] std::size_t CountLikelyCached(
+    cached_server const& aServer,
+    std::span<block_hash const> aBlocks,
+    instant aNow) const;
+  /// The key of a prompt that was sent to a server's incarnation.
   static std::uint64_t SendKey(cached_server const& aServer,
                                std::span<block_hash const> aBlocks);
-  void RememberSend(cached_server const& aServer,
-                    std::span<block_hash const> aBlocks,
-                    instant aNow);
-  void LearnRetention(cached_server& aServer,
-                      std::span<block_hash const> aBlocks,
-                      std::size_t aCachedBlocks);
+  void RecordSend(cached_server const& aServer,
+                  std::span<block_hash const> aBlocks,
+                  instant aNow);
+  void AdjustRetention(cached_server& aServer,
+                       std::span<block_hash const> aBlocks,
+                       std::size_t aCachedBlocks);
 
   block_map_options mOptions;
   block_table mTable;
--- a/Libraries/LibPlacement/BlockMapOptions.h
+++ b/Libraries/LibPlacement/BlockMapOptions.h
@@ -7,18 +7,19 @@
 
 namespace lycheeseam {
 
-/// Bounds of a block_map.
+/// Size and time limits of block_map.
 struct block_map_options
 {
-  /// Entries meant to fit; 24 to 26 bytes each.
+  /// The number of entries that should fit; 24 to 26 bytes each.
   std::size_t mEntries = 424'000;
-  /// The first guess of how long engines keep an unused block. Too long a guess
-  /// corrects itself by each miss; too short a one is never put to the test.
-  duration mFirstRetention = std::chrono::seconds{ 150 };
-  duration mShortestRetention = std::chrono::seconds{ 1 };
-  duration mLongestRetention = std::chrono::minutes{ 5 };
-  /// Events of a stream that was silent for longer aren't relied on.
-  duration mLongestSilence = std::chrono::seconds{ 5 };
+  /// The initial estimate of how long engines keep an unused block. Misses
+  /// correct an estimate that is too long; one that is too short is never
+  /// tested.
+  duration mInitialRetention = std::chrono::seconds{ 150 };
+  duration mMinRetention = std::chrono::seconds{ 1 };
+  duration mMaxRetention = std::chrono::minutes{ 5 };
+  /// Events are ignored when their stream has delivered none for longer.
+  duration mStreamTimeout = std::chrono::seconds{ 5 };
 };
 
 }
--- a/Libraries/LibPlacement/BlockShard.cpp
+++ b/Libraries/LibPlacement/BlockShard.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-// The KV store stands in a map of its own, with one name and one life.
+// The KV store has a map of its own, as one server with a fixed incarnation.
 backend_server_id const&
 StoreName()
 {
@@ -18,18 +18,18 @@
 
 constexpr incarnation kStoreIncarnation{ 1 };
 
-// The first guess of how long the store keeps unused pieces.
+// The initial estimate of how long the store keeps unused pieces.
 constexpr duration kStoreRetention = std::chrono::seconds{ 60 };
 
-// The store's part of all entries.
-constexpr std::size_t kStorePart = 8;
+// The store's map has one eighth as many entries as the map of the servers.
+constexpr std::size_t kStoreDivisor = 8;
 
 }
 
 block_shard::block_shard(block_map_options aOptions)
   : mMap(aOptions)
-  , mStore({ .mEntries = aOptions.mEntries / kStorePart,
-             .mFirstRetention = kStoreRetention })
+  , mStore({ .mEntries = aOptions.mEntries / kStoreDivisor,
+             .mInitialRetention = kStoreRetention })
 {
 }
 
@@ -50,7 +50,7 @@
     answer.mKnown.resize(kMaxHolders);
   token_count const stored =
     mStore.Find(StoreName(), kStoreIncarnation, aLookup.mBlocks, aNow).mTokens;
-  // The store knows whole pieces only.
+  // The store keeps complete pieces only.
   answer.mStoredTokens = stored / kPieceTokens * kPieceTokens;
   return answer;
 }
--- a/Libraries/LibPlacement/BlockTable.cpp
+++ b/Libraries/LibPlacement/BlockTable.cpp
@@ -6,9 +6,9 @@
 
 namespace {
 
-// Entries per bucket that are meant to be in use: two thirds of the places,
-// since few buckets then hold more than they have places for.
-constexpr std::size_t kMeantPerBucket = 5;
+// The planned number of used entries per bucket. With about two thirds in use,
+// few buckets overflow.
+constexpr std::size_t kPlannedPerBucket = 5;
 
 // An odd constant with well-mixed bits (2^64 divided by the golden ratio).
 constexpr std::uint64_t kServerMix = 0x9E3779B97F4A7C15;
@@ -21,19 +21,19 @@
   return aEntry.mBlock == aBlock && aEntry.mServerNumber == aServerNumber;
 }
 
-/// Empty places sort before all others, then the oldest.
+/// Orders empty entries before all others, then older before newer.
 bool
-IsCheaperToLose(block_entry const& aLeft, block_entry const& aRight)
+IsEvictedBefore(block_entry const& aLeft, block_entry const& aRight)
 {
   if ((aLeft.mServerNumber == 0) != (aRight.mServerNumber == 0))
     return aLeft.mServerNumber == 0;
-  return aLeft.mSeenTick < aRight.mSeenTick;
+  return aLeft.mConfirmedTick < aRight.mConfirmedTick;
 }
 
 }
 
 block_table::block_table(std::size_t aEntries)
-  : mBuckets(aEntries / kMeantPerBucket + 1)
+  : mBuckets(aEntries / kPlannedPerBucket + 1)
 {
 }
 
@@ -50,13 +50,13 @@
 void
 block_table::Put(block_entry aEntry)
 {
-  bucket& places = mBuckets[BucketOf(aEntry.mBlock, aEntry.mServerNumber)];
-  auto place = std::ranges::find_if(places, [&](block_entry const& aOther) {
+  bucket& entries = mBuckets[BucketOf(aEntry.mBlock, aEntry.mServerNumber)];
+  auto replaced = std::ranges::find_if(entries, [&](block_entry const& aOther) {
     return HasKey(aOther, aEntry.mBlock, aEntry.mServerNumber);
   });
-  if (place == places.end())
-    place = std::ranges::min_element(places, IsCheaperToLose);
-  *place = aEntry;
+  if (replaced == entries.end())
+    replaced = std::ranges::min_element(entries, IsEvictedBefore);
+  *replaced = aEntry;
 }
 
 void
@@ -79,7 +79,7 @@
 {
   std::uint64_t const mixed =
     (aBlock.Value() ^ (aServerNumber * kServerMix)) * kServerMix;
-  // The high half times the count maps evenly without a division.
+  // Multiplying the high half by the count maps evenly without a division.
   return static_cast<std::size_t>((mixed >> 32U) * mBuckets.size() >> 32U);
 }
 
--- a/Libraries/LibPlacement/BlockTable.h
+++ b/Libraries/LibPlacement/BlockTable.h
@@ -9,30 +9,30 @@
 
 namespace lycheeseam {
 
-/// A bounded table of block entries. Each key has one bucket of a few places;
-/// a full bucket gives up its oldest entry, so memory never grows.
+/// A hash table of block entries with a fixed size. Each key belongs to one
+/// bucket of a few entries; a full bucket evicts its oldest entry.
 class block_table
 {
 public:
-  /// aEntries is how many entries are meant to fit with few lost.
+  /// aEntries is the number of entries that fit with few evictions.
   explicit block_table(std::size_t aEntries);
 
-  /// The entry of a block on a numbered server, or null.
+  /// The entry of a block for a server number, or null.
   [[nodiscard]] block_entry const* Find(block_hash aBlock,
                                         std::uint32_t aServerNumber) const;
 
   /// Adds an entry, or replaces the one with its key.
   void Put(block_entry aEntry);
 
-  /// Drops an entry if it is there.
+  /// Removes the entry with that key, if any.
   void Erase(block_hash aBlock, std::uint32_t aServerNumber);
 
-  /// The table's size in bytes; fixed from the start.
+  /// The table's size in bytes, which never changes.
   [[nodiscard]] std::size_t Bytes() const;
 
 private:
-  static constexpr std::size_t kPlaces = 8;
-  using bucket = std::array<block_entry, kPlaces>;
+  static constexpr std::size_t kEntriesPerBucket = 8;
+  using bucket = std::array<block_entry, kEntriesPerBucket>;
 
   [[nodiscard]] std::size_t BucketOf(block_hash aBlock,
                                      std::uint32_t aServerNumber) const;
--- a/Libraries/LibPlacement/BlockUpdate.h
+++ b/Libraries/LibPlacement/BlockUpdate.h
@@ -8,13 +8,14 @@
 
 namespace lycheeseam {
 
-/// Tells a prefix's owner of a request that was sent, or of its answer.
+/// Reports a sent request, or its answer, to the prefix owner.
 struct block_update
 {
   backend_server_id mServer;
   incarnation mIncarnation;
   std::vector<block_hash> mBlocks;
-  /// The cached tokens that the answer counted; none yet when just sent.
+  /// The number of cached tokens that the answer reported; nothing for a
+  /// request without an answer yet.
   std::optional<token_count> mCachedTokens;
 
   bool operator==(block_update const&) const = default;
--- a/Libraries/LibPlacement/CacheChange.h
+++ b/Libraries/LibPlacement/CacheChange.h
@@ -2,7 +2,7 @@
 
 namespace lycheeseam {
 
-/// What an engine says about one block of its prefix cache.
+/// What happened to a block in the prefix cache of an engine.
 enum class cache_change
 {
   Stored,
--- a/Libraries/LibPlacement/CacheEvent.h
+++ b/Libraries/LibPlacement/CacheEvent.h
@@ -5,7 +5,7 @@
 
 namespace lycheeseam {
 
-/// One change of an engine's prefix cache.
+/// A change of one block in an engine's prefix cache.
 struct cache_event
 {
   cache_change mChange = cache_change::Stored;
--- a/Libraries/LibPlacement/CacheEventBatch.h
+++ b/Libraries/LibPlacement/CacheEventBatch.h
@@ -7,9 +7,9 @@
 
 namespace lycheeseam {
 
-/// Events of one engine as its stream delivered them; late, and some lost.
-/// A reader that passes on a part of them says which sequence numbers the part
-/// covers, so that its receiver still sees gaps.
+/// Events of one engine as its stream delivered them, late and with losses. A
+/// reader that forwards a part of them states which sequence numbers the part
+/// covers, so that its receiver still detects gaps.
 struct cache_event_batch
 {
   backend_server_id mServer;
--- a/Libraries/LibPlacement/CacheScope.h
+++ b/Libraries/LibPlacement/CacheScope.h
@@ -4,7 +4,8 @@
 
 namespace lycheeseam {
 
-/// Who may share cached blocks: one workspace, on one version of the weights.
+/// The scope in which cached blocks are shared: one workspace on one version of
+/// the weights.
 struct cache_scope
 {
   workspace_id mWorkspace;
--- a/Libraries/LibPlacement/CachedServer.h
+++ b/Libraries/LibPlacement/CachedServer.h
@@ -7,19 +7,19 @@
 
 namespace lycheeseam {
 
-/// What a block_map keeps of the current incarnation of one backend server.
+/// block_map's state of the current incarnation of one backend server.
 struct cached_server
 {
   incarnation mIncarnation;
-  /// Marks this incarnation's entries in the table; never used again.
+  /// Identifies this incarnation's entries in the table; never reused.
   std::uint32_t mNumber = 0;
-  /// The batch of events that should come next.
+  /// The sequence number expected next.
   event_sequence mNextSequence;
-  bool mHasSeenEvents = false;
+  bool mHasReceivedEvents = false;
   instant mLastBatchAt{};
-  /// What events said up to this tick is in doubt: batches were lost.
+  /// Events up to this tick are unreliable, since batches were lost.
   std::uint32_t mLastGapTick = 0;
-  /// How long an unused block likely stays cached.
+  /// The estimate of how long an unused block stays cached.
   duration mRetention{};
 };
 
--- a/Libraries/LibPlacement/KnownPrefix.h
+++ b/Libraries/LibPlacement/KnownPrefix.h
@@ -4,12 +4,12 @@
 
 namespace lycheeseam {
 
-/// How much of a prompt one life of a backend server is believed to hold.
+/// How much of a prompt one incarnation of a backend server likely has cached.
 struct known_prefix
 {
   backend_server_id mServer;
   incarnation mIncarnation;
-  /// Tokens from the prompt's start on.
+  /// The number of tokens from the prompt's start on.
   token_count mTokens = 0;
 
   auto operator<=>(known_prefix const&) const = default;
--- a/Libraries/LibPlacement/LeastLoadedPolicy.h
+++ b/Libraries/LibPlacement/LeastLoadedPolicy.h
@@ -4,8 +4,10 @@
 
 namespace lycheeseam {
 
-/// Takes the eligible backend server with the fewest requests: those it
-/// reported to run and those of this instance, whichever are more.
+/// Chooses the eligible backend server with the fewest tokens queued or sent
+/// since its load report, and among equals the one with the fewest requests:
+/// those that it reported as running or those of this instance, whichever are
+/// more.
 class least_loaded_policy
 {
 public:
@@ -15,7 +17,7 @@
     instant aNow);
 
 private:
-  /// Where the search starts, so that equals are taken in turn.
+  /// Where the search starts, so that equal servers are chosen in turn.
   std::size_t mNext = 0;
 };
 
--- a/Libraries/LibPlacement/LoadTracker.h
+++ b/Libraries/LibPlacement/LoadTracker.h
@@ -8,18 +8,18 @@
 
 namespace lycheeseam {
 
-/// Joins a backend server's late load reports with what this instance has
-/// sent since each was measured.
+/// Combines a backend server's load reports, which arrive late, with the tokens
+/// that this instance has sent since the last one was measured.
 class load_tracker
 {
 public:
-  /// A request was sent with that many tokens to compute, by estimate.
+  /// A request with an estimated number of tokens to compute was sent.
   void OnSent(token_count aTokens, instant aNow);
 
-  /// A report came; older ones than the last are ignored.
+  /// A report arrived; one measured before the last is ignored.
   void OnReport(server_load const& aLoad);
 
-  /// The server started anew: nothing waits there.
+  /// The server restarted, so its queue is empty.
   void OnRestart(instant aNow);
 
   [[nodiscard]] server_load const& Load() const { return mLoad; }
@@ -34,7 +34,7 @@
     token_count mTokens;
   };
 
-  /// Bounds the memory when no report comes.
+  /// Bounds the memory when no report arrives.
   static constexpr std::size_t kMaxSent = 1024;
 
   void DropOldest();
--- a/Libraries/LibPlacement/LookupDeadlines.cpp
+++ b/Libraries/LibPlacement/LookupDeadlines.cpp
@@ -7,7 +7,7 @@
 {
   mLast = mLast.Next();
   mWaiting.emplace(
-    mLast, waiting{ .mTicket = aTicket, .mDeadline = aNow + kPatience });
+    mLast, waiting{ .mTicket = aTicket, .mDeadline = aNow + kAnswerTimeout });
   return mLast;
 }
 
--- a/Libraries/LibPlacement/LookupDeadlines.h
+++ b/Libraries/LibPlacement/LookupDeadlines.h
@@ -12,23 +12,24 @@
 
 namespace lycheeseam {
 
-/// Requests that wait for a shard's answer, until their deadline.
+/// The requests that wait for the answer to a block_lookup, with their
+/// deadlines.
 class lookup_deadlines
 {
 public:
-  /// How long a request waits before hashing decides.
-  static constexpr duration kPatience = std::chrono::milliseconds{ 8 };
+  /// How long a request waits for the answer before rendezvous hashing decides.
+  static constexpr duration kAnswerTimeout = std::chrono::milliseconds{ 8 };
 
-  /// A request starts to wait; the number goes into its block_lookup.
+  /// Adds a request; the returned number goes into its block_lookup.
   lookup_number Begin(ticket aTicket, instant aNow);
 
-  /// The request that an answer is for; none when it came too late.
+  /// Removes the request that an answer belongs to; nothing if it has expired.
   std::optional<ticket> End(lookup_number aNumber);
 
-  /// Takes out the requests whose time is up.
+  /// Removes and returns the requests whose deadline has passed.
   std::vector<ticket> Expire(instant aNow);
 
-  /// When the next request's time is up.
+  /// The earliest deadline; nothing when no request waits.
   [[nodiscard]] std::optional<instant> NextDeadline() const;
 
 private:
@@ -38,7 +39,7 @@
     instant mDeadline;
   };
 
-  /// Numbers grow with their deadlines, so the first one is due first.
+  /// Numbers increase with deadlines, so the first entry expires first.
   std::map<lookup_number, waiting> mWaiting;
   lookup_number mLast;
 };
--- a/Libraries/LibPlacement/LookupNumber.h
+++ b/Libraries/LibPlacement/LookupNumber.h
@@ -4,7 +4,7 @@
 
 namespace lycheeseam {
 
-/// Tells the lookups of one asking instance apart.
+/// Identifies a block_lookup among those of one requesting instance.
 using lookup_number = ordinal<struct lookup_tag>;
 
 }
--- a/Libraries/LibPlacement/KnowledgeState.h
+++ b/Libraries/LibPlacement/LookupState.h
@@ -2,8 +2,8 @@
 
 namespace lycheeseam {
 
-/// Whether a request's block knowledge was to be had in time.
-enum class knowledge_state
+/// Whether the block_lookup of a request was answered in time.
+enum class lookup_state
 {
   /// The shard answered; what it doesn't name isn't cached.
   Answered,
--- a/Libraries/LibPlacement/PendingSend.h
+++ b/Libraries/LibPlacement/PendingSend.h
@@ -5,14 +5,14 @@
 
 namespace lycheeseam {
 
-/// What was known of a prompt's blocks before it was sent, kept until its
-/// answer shows which of them were still cached.
+/// When a prompt's blocks had last been known to be cached before it was sent.
+/// Its answer shows which of them still were.
 struct pending_send
 {
-  /// When it was sent, in ticks of the map's clock.
+  /// When it was sent, in ticks of block_map's clock.
   std::uint32_t mSentTick = 0;
-  /// When each block had been confirmed; zero for one that wasn't known.
-  std::vector<std::uint32_t> mSeenTicks;
+  /// When each block was last known to be cached; zero for an unknown one.
+  std::vector<std::uint32_t> mConfirmedTicks;
 };
 
 }
--- a/Libraries/LibPlacement/PlacementCandidate.h
+++ b/Libraries/LibPlacement/PlacementCandidate.h
@@ -9,23 +9,24 @@
 
 namespace lycheeseam {
 
-/// One backend server as the control thread knows it at a decision.
+/// The state of a backend server at a placement decision, as the control thread
+/// knows it.
 struct placement_candidate
 {
   backend_server_id mServer;
   incarnation mIncarnation;
   failure_domain mFailureDomain;
   server_load mLoad;
-  /// Uncached prompt tokens that this instance has sent since the load was
-  /// measured, by its own estimate.
+  /// The uncached prompt tokens that this instance has sent since the load was
+  /// measured, as it estimated them.
   token_count mSentTokens = 0;
-  /// This instance's requests that have not ended.
+  /// The number of open requests of this instance.
   std::uint32_t mOutstanding = 0;
-  /// The most that mOutstanding may be, slow start included.
+  /// The maximum of mOutstanding, reduced during slow start.
   std::uint32_t mWindow = std::numeric_limits<std::uint32_t>::max();
   breaker_state mBreaker = breaker_state::Closed;
 
-  /// True when a request may be sent; a half-open breaker lets one through.
+  /// Whether a request may be sent; a half-open breaker admits one at a time.
   [[nodiscard]] bool IsEligible() const
   {
     if (mBreaker == breaker_state::Open)
--- a/Libraries/LibPlacement/PlacementChoice.h
+++ b/Libraries/LibPlacement/PlacementChoice.h
@@ -8,18 +8,20 @@
 
 namespace lycheeseam {
 
-/// A policy's decision, with what explains it.
+/// A policy's decision, with the estimates behind it.
 struct placement_choice
 {
-  /// The candidate's place in the span that the policy was given.
+  /// The candidate's index in the span given to the policy.
   std::size_t mIndex = 0;
   backend_server_id mServer;
-  placement_reason mReason = placement_reason::Turn;
-  /// The expected time to the first token; zero when the policy has no model.
+  placement_reason mReason = placement_reason::RoundRobin;
+  /// The expected cost, as time to the first token; zero for a policy without a
+  /// cost model.
   duration mExpectedCost{};
-  /// Tokens that are expected to be cached on the server.
+  /// The number of tokens that the server is expected to have cached.
   token_count mExpectedCached = 0;
-  /// Tokens that the engine should import from the KV store.
+  /// The number of tokens, from the prompt's start on, that the engine should
+  /// import from the KV store; zero for no import.
   token_count mStoredTokens = 0;
 };
 
--- a/Libraries/LibPlacement/PlacementPolicy.h
+++ b/Libraries/LibPlacement/PlacementPolicy.h
@@ -11,8 +11,8 @@
 
 namespace lycheeseam {
 
-/// Chooses a backend server for a request, or none when no candidate is
-/// eligible: the request then waits.
+/// Chooses a backend server for a request. Without an eligible candidate it
+/// chooses none, and the request waits.
 template<typename Policy>
 concept placement_policy =
   requires(Policy& aPolicy,
--- a/Libraries/LibPlacement/PlacementReason.cpp
+++ b/Libraries/LibPlacement/PlacementReason.cpp
@@ -8,7 +8,7 @@
 PlacementReasonName(placement_reason aReason)
 {
   switch (aReason) {
-    case placement_reason::Turn:
+    case placement_reason::RoundRobin:
       return "turn";
     case placement_reason::LeastLoaded:
       return "least_loaded";
--- a/Libraries/LibPlacement/PlacementReason.h
+++ b/Libraries/LibPlacement/PlacementReason.h
@@ -7,21 +7,22 @@
 /// Why a policy chose a backend server.
 enum class placement_reason
 {
-  Turn,
+  RoundRobin,
   LeastLoaded,
-  /// The server that hashing gives the prefix.
+  /// The server ranks highest for the prefix by rendezvous hashing.
   HashOwner,
-  /// Hashing's first choice is over its bound; the next one is taken.
+  /// The highest-ranked server is ineligible or above the load bound; this
+  /// is the next one.
   HashNext,
-  /// The prefix is known to be cached there.
+  /// The server likely has the prefix cached.
   CachedPrefix,
-  /// The KV store's pieces are cheaper than computing anew.
+  /// Importing the KV store's pieces is cheaper than computing them again.
   StoredPieces,
-  /// Computing anew is expected to be fastest there.
+  /// The server is expected to compute the uncached prompt fastest.
   Recompute,
 };
 
-/// The reason as traces and logs show it, such as "cached_prefix".
+/// The reason's name in traces and logs, such as "cached_prefix".
 std::string_view
 PlacementReasonName(placement_reason aReason);
 
--- a/Libraries/LibPlacement/PlacementRequest.h
+++ b/Libraries/LibPlacement/PlacementRequest.h
@@ -2,27 +2,27 @@
 
 #include <LibCore/Identifiers.h>
 #include <LibPlacement/BlockHash.h>
-#include <LibPlacement/KnowledgeState.h>
 #include <LibPlacement/KnownPrefix.h>
+#include <LibPlacement/LookupState.h>
 
 #include <span>
 
 namespace lycheeseam {
 
-/// What a policy may know of a request; it owns nothing.
+/// The properties of a request that a policy uses; owns none of its spans.
 struct placement_request
 {
   /// The prompt's blocks.
   std::span<block_hash const> mBlocks;
-  /// The chain's root.
+  /// The root of the prefix chain.
   block_hash mRoot;
   token_count mPromptTokens = 0;
-  /// Where this instance stands.
+  /// The failure domain of this instance.
   failure_domain mFailureDomain;
-  /// Where parts of the prompt are believed to be cached.
+  /// The servers that likely have a prefix of the prompt cached.
   std::span<known_prefix const> mKnown;
-  knowledge_state mKnowledge = knowledge_state::Missing;
-  /// Tokens from the prompt's start on that the KV store holds.
+  lookup_state mLookupState = lookup_state::Missing;
+  /// The number of tokens, from the prompt's start on, in the KV store.
   token_count mStoredTokens = 0;
 };
 
--- a/Libraries/LibPlacement/PrefixChain.cpp
+++ b/Libraries/LibPlacement/PrefixChain.cpp
@@ -19,12 +19,12 @@
                   HashText(aScope.mWorkspace.Text(), 0));
 }
 
-/// A chain's hash marked with the shard of its root.
+/// The hash of a block with the shard bits of its root.
 block_hash
-Marked(std::uint64_t aHash, std::uint64_t aRoot)
+WithShardBits(std::uint64_t aHash, std::uint64_t aRoot)
 {
-  std::uint64_t const mark = aRoot >> kOwnHashBits << kOwnHashBits;
-  return block_hash{ mark | (aHash >> (64 - kOwnHashBits)) };
+  std::uint64_t const shardBits = aRoot >> kOwnHashBits << kOwnHashBits;
+  return block_hash{ shardBits | (aHash >> (64 - kOwnHashBits)) };
 }
 
 std::vector<block_hash>
@@ -40,7 +40,7 @@
     chained = HashText(aBytes.substr(0, aBlockBytes), chained);
     if (blocks.empty())
       root = chained;
-    blocks.push_back(Marked(chained, root));
+    blocks.push_back(WithShardBits(chained, root));
     aBytes.remove_prefix(aBlockBytes);
   }
   return blocks;
--- a/Libraries/LibPlacement/PrefixChain.h
+++ b/Libraries/LibPlacement/PrefixChain.h
@@ -11,25 +11,25 @@
 
 namespace lycheeseam {
 
-/// A prompt cut into blocks, each hashed together with what precedes it.
+/// A prompt split into blocks, each hashed together with all blocks before it.
 class prefix_chain
 {
 public:
-  /// Cuts a prompt's text; what doesn't fill a block at its end is left out.
+  /// Splits a prompt's text; an incomplete block at the end is left out.
   static prefix_chain OfText(cache_scope const& aScope, std::string_view aText);
 
-  /// Cuts a prompt's tokens, as engines name them.
+  /// Splits a prompt's tokens, given by the engines' token ids.
   static prefix_chain OfTokens(cache_scope const& aScope,
                                std::span<std::uint32_t const> aTokens);
 
   /// The blocks from the prompt's start on.
   [[nodiscard]] std::span<block_hash const> Blocks() const { return mBlocks; }
 
-  /// The prompt's whole length in tokens, estimated for text.
+  /// The prompt's total length in tokens, estimated for text.
   [[nodiscard]] token_count Tokens() const { return mTokens; }
 
-  /// What all prompts with the same first block share; a prompt shorter than
-  /// a block has one of its own.
+  /// The hash of the first block, which all prompts that begin with it share; a
+  /// prompt shorter than a block has the hash of its own content.
   [[nodiscard]] block_hash Root() const { return mRoot; }
 
 private:
--- a/Libraries/LibPlacement/PrefixCostOptions.h
+++ b/Libraries/LibPlacement/PrefixCostOptions.h
@@ -6,20 +6,21 @@
 
 namespace lycheeseam {
 
-/// What prefix_cost_policy takes for granted of a pool's engines.
+/// The rates and costs that prefix_cost_policy assumes for a pool's engines.
 struct prefix_cost_options
 {
-  /// Prompt tokens that an engine computes in a second.
+  /// The prompt tokens that an engine computes per second.
   double mPrefillRate = 8000.0;
-  /// Tokens that an engine imports from the KV store in a second.
+  /// The tokens that an engine imports from the KV store per second.
   double mImportRate = 40000.0;
-  /// What an import costs before its first token.
+  /// The time from the start of an import to its first token.
   duration mImportLatency = std::chrono::milliseconds{ 20 };
-  /// What each running answer adds to the wait of a new one.
-  duration mCostPerRunning = std::chrono::milliseconds{ 1 };
-  /// The way to another failure domain and back.
-  duration mDistance = std::chrono::milliseconds{ 3 };
-  /// What computing costs those who wait behind, as a part of its own time.
+  /// The time that each running request adds to the wait of a new one.
+  duration mDelayPerRunning = std::chrono::milliseconds{ 1 };
+  /// The round-trip time to another failure domain.
+  duration mDomainRoundTrip = std::chrono::milliseconds{ 3 };
+  /// The cost of computing to the requests queued behind, as a fraction of the
+  /// computing time.
   double mComputeWeight = 1.0;
 };
 
--- a/Libraries/LibPlacement/PrefixCostPolicy.cpp
+++ b/Libraries/LibPlacement/PrefixCostPolicy.cpp
@@ -18,7 +18,7 @@
     std::chrono::duration<double>{ aSeconds });
 }
 
-/// What is known to be cached on this very life of a server.
+/// The number of the prompt's tokens cached by the candidate's incarnation.
 token_count
 CachedTokens(placement_request const& aRequest,
              placement_candidate const& aCandidate)
@@ -31,10 +31,10 @@
   return 0;
 }
 
-/// The cheapest choice; hashing decides between equals, so that instances
-/// agree on the place of a prefix that nobody holds.
+/// The cheapest choice. Rendezvous hashing decides between equals, so that
+/// instances agree on the server for a prefix that none has cached.
 placement_choice const&
-PickCheapest(std::span<placement_choice const> aChoices, block_hash aRoot)
+Cheapest(std::span<placement_choice const> aChoices, block_hash aRoot)
 {
   auto const rank = [aRoot](placement_choice const& aChoice) {
     return std::pair{ aChoice.mExpectedCost,
@@ -50,25 +50,25 @@
                            std::span<placement_candidate const> aCandidates,
                            instant aNow) const
 {
-  if (aRequest.mKnowledge == knowledge_state::Missing)
-    return mByHash.Choose(aRequest, aCandidates, aNow);
+  if (aRequest.mLookupState == lookup_state::Missing)
+    return mHashPolicy.Choose(aRequest, aCandidates, aNow);
   std::vector<placement_choice> choices;
   choices.reserve(aCandidates.size());
   for (std::size_t index = 0; index < aCandidates.size(); ++index) {
     if (!aCandidates[index].IsEligible())
       continue;
-    choices.push_back(Weigh(aRequest, aCandidates[index], aNow));
+    choices.push_back(Estimate(aRequest, aCandidates[index], aNow));
     choices.back().mIndex = index;
   }
   if (choices.empty())
     return std::nullopt;
-  return PickCheapest(choices, aRequest.mRoot);
+  return Cheapest(choices, aRequest.mRoot);
 }
 
 placement_choice
-prefix_cost_policy::Weigh(placement_request const& aRequest,
-                          placement_candidate const& aCandidate,
-                          instant aNow) const
+prefix_cost_policy::Estimate(placement_request const& aRequest,
+                             placement_candidate const& aCandidate,
+                             instant aNow) const
 {
   token_count const cached = CachedTokens(aRequest, aCandidate);
   token_count const uncached = aRequest.mPromptTokens - cached;
@@ -77,30 +77,31 @@
   duration const compute = PrefillTime(uncached);
   duration const import =
     ImportTime(stored - cached) + PrefillTime(aRequest.mPromptTokens - stored);
-  bool const takesImport = stored > cached && import < compute;
+  bool const usesImport = stored > cached && import < compute;
   return { .mServer = aCandidate.mServer,
-           .mReason = takesImport  ? placement_reason::StoredPieces
+           .mReason = usesImport   ? placement_reason::StoredPieces
                       : cached > 0 ? placement_reason::CachedPrefix
                                    : placement_reason::Recompute,
-           .mExpectedCost = WaitAt(aRequest, aCandidate, aNow) +
-                            (takesImport ? import : compute),
+           .mExpectedCost = ExpectedWait(aRequest, aCandidate, aNow) +
+                            (usesImport ? import : compute),
            .mExpectedCached = cached,
-           .mStoredTokens = takesImport ? stored : 0 };
+           .mStoredTokens = usesImport ? stored : 0 };
 }
 
 duration
-prefix_cost_policy::WaitAt(placement_request const& aRequest,
-                           placement_candidate const& aCandidate,
-                           instant aNow) const
+prefix_cost_policy::ExpectedWait(placement_request const& aRequest,
+                                 placement_candidate const& aCandidate,
+                                 instant aNow) const
 {
   token_count const queued =
     EstimateQueuedTokens(aCandidate, mOptions.mPrefillRate, aNow);
   std::uint32_t const running =
     std::max(aCandidate.mLoad.mRunning, aCandidate.mOutstanding);
-  bool const isNear = aCandidate.mFailureDomain == aRequest.mFailureDomain;
+  bool const isSameDomain =
+    aCandidate.mFailureDomain == aRequest.mFailureDomain;
   return Seconds(static_cast<double>(queued) / mOptions.mPrefillRate) +
-         running * mOptions.mCostPerRunning +
-         (isNear ? duration{} : mOptions.mDistance);
+         running * mOptions.mDelayPerRunning +
+         (isSameDomain ? duration{} : mOptions.mDomainRoundTrip);
 }
 
 duration
--- a/Libraries/LibPlacement/PrefixCostPolicy.h
+++ b/Libraries/LibPlacement/PrefixCostPolicy.h
@@ -6,12 +6,14 @@
 
 namespace lycheeseam {
 
-/// Takes the backend server with the least expected cost of a first token:
-/// the wait in its queue, the way there, and the dearer or cheaper of what is
-/// cached, imported from the KV store, or computed anew.
+/// Chooses the backend server with the lowest expected cost until the first
+/// token: the wait in its queue, the round trip to its failure domain, and the
+/// time to compute what is not cached or to import it from the KV store,
+/// whichever is shorter.
 ///
-/// A hot prefix spreads by itself: once the wait at its holders is longer than
-/// computing it elsewhere, another server gets it and holds it from then on.
+/// A hot prefix spreads to further servers: once the wait at the servers that
+/// cache it is longer than computing it elsewhere, another server computes it
+/// and caches it from then on.
 class prefix_cost_policy
 {
 public:
@@ -26,18 +28,18 @@
     instant aNow) const;
 
 private:
-  [[nodiscard]] placement_choice Weigh(placement_request const& aRequest,
-                                       placement_candidate const& aCandidate,
-                                       instant aNow) const;
-  [[nodiscard]] duration WaitAt(placement_request const& aRequest,
-                                placement_candidate const& aCandidate,
-                                instant aNow) const;
+  [[nodiscard]] placement_choice Estimate(placement_request const& aRequest,
+                                          placement_candidate const& aCandidate,
+                                          instant aNow) const;
+  [[nodiscard]] duration ExpectedWait(placement_request const& aRequest,
+                                      placement_candidate const& aCandidate,
+                                      instant aNow) const;
   [[nodiscard]] duration PrefillTime(token_count aTokens) const;
   [[nodiscard]] duration ImportTime(token_count aTokens) const;
 
   prefix_cost_options mOptions;
-  /// Decides when there is no knowledge.
-  rendezvous_policy mByHash;
+  /// Decides when the lookup was not answered.
+  rendezvous_policy mHashPolicy;
 };
 
 static_assert(placement_policy<prefix_cost_policy>);
--- a/Libraries/LibPlacement/QueueEstimate.cpp
+++ b/Libraries/LibPlacement/QueueEstimate.cpp
@@ -11,10 +11,10 @@
                      instant aNow)
 {
   std::chrono::duration<double> const age = aNow - aCandidate.mLoad.mMeasuredAt;
-  double const workedOff = std::max(age.count(), 0.0) * aPrefillRate;
+  double const computed = std::max(age.count(), 0.0) * aPrefillRate;
   double const queued = static_cast<double>(aCandidate.mLoad.mQueuedTokens +
                                             aCandidate.mSentTokens);
-  return static_cast<token_count>(std::max(queued - workedOff, 0.0));
+  return static_cast<token_count>(std::max(queued - computed, 0.0));
 }
 
 }
--- a/Libraries/LibPlacement/QueueEstimate.h
+++ b/Libraries/LibPlacement/QueueEstimate.h
@@ -5,10 +5,11 @@
 
 namespace lycheeseam {
 
-/// Prompt tokens that likely wait on a backend server now: what it reported,
-/// less what it has worked off since, and what this instance has sent since.
+/// Estimates the prompt tokens queued at a backend server now: those that it
+/// reported and those that this instance has sent since, less those that it
+/// has computed since.
 ///
-/// \param aPrefillRate tokens that the engine prefills in a second.
+/// \param aPrefillRate tokens that the engine computes per second.
 token_count
 EstimateQueuedTokens(placement_candidate const& aCandidate,
                      double aPrefillRate,
--- a/Libraries/LibPlacement/RendezvousPolicy.cpp
+++ b/Libraries/LibPlacement/RendezvousPolicy.cpp
@@ -14,7 +14,7 @@
   return std::max(aCandidate.mLoad.mRunning, aCandidate.mOutstanding);
 }
 
-/// The most requests that a server may have before the next one is taken.
+/// The maximum number of requests of a server, the new one included.
 double
 LoadBound(std::span<placement_candidate const> aCandidates)
 {
--- a/Libraries/LibPlacement/RendezvousPolicy.h
+++ b/Libraries/LibPlacement/RendezvousPolicy.h
@@ -4,12 +4,12 @@
 
 namespace lycheeseam {
 
-/// Takes the backend server that rendezvous hashing gives the prompt's root,
-/// passing over those whose load is above a bound.
+/// Chooses the backend server that ranks highest for the prompt's root by
+/// rendezvous hashing, skipping servers whose load would exceed a bound.
 class rendezvous_policy
 {
 public:
-  /// How far above the mean a server's outstanding work may be, as a factor.
+  /// The load bound, as a factor of the mean number of requests per server.
   static constexpr double kLoadBound = 1.25;
 
   std::optional<placement_choice> Choose(
--- a/Libraries/LibPlacement/RendezvousRank.h
+++ b/Libraries/LibPlacement/RendezvousRank.h
@@ -7,8 +7,9 @@
 
 namespace lycheeseam {
 
-/// A member's rank for a prefix; all instances compute the same one, and the
-/// highest owns the prefix. A member that comes or goes moves only its own.
+/// A member's rank for a prefix, the same on all instances; the member with the
+/// highest rank owns the prefix. An added or removed member changes the owner
+/// only of prefixes that it owns or owned.
 std::uint64_t
 RendezvousRank(block_hash aRoot, std::string_view aMember);
 
--- a/Libraries/LibPlacement/RoundRobinPolicy.cpp
+++ b/Libraries/LibPlacement/RoundRobinPolicy.cpp
@@ -12,7 +12,7 @@
     if (aCandidates[index].IsEligible())
       return placement_choice{ .mIndex = index,
                                .mServer = aCandidates[index].mServer,
-                               .mReason = placement_reason::Turn };
+                               .mReason = placement_reason::RoundRobin };
   }
   return std::nullopt;
 }
--- a/Libraries/LibPlacement/RoundRobinPolicy.h
+++ b/Libraries/LibPlacement/RoundRobinPolicy.h
@@ -4,7 +4,7 @@
 
 namespace lycheeseam {
 
-/// Takes each eligible backend server in its turn.
+/// Chooses the eligible backend servers in turn.
 class round_robin_policy
 {
 public:
--- a/Libraries/LibPlacement/ServerLoad.h
+++ b/Libraries/LibPlacement/ServerLoad.h
@@ -7,14 +7,14 @@
 
 namespace lycheeseam {
 
-/// What a backend server last reported of itself; it is always late.
+/// The last load report of a backend server; it is always out of date.
 struct server_load
 {
-  /// Prompt tokens that wait for their prefill.
+  /// The prompt tokens that wait for prefill.
   token_count mQueuedTokens = 0;
-  /// Requests whose answers are being generated.
+  /// The number of requests whose answers are being generated.
   std::uint32_t mRunning = 0;
-  /// When the server measured this, as near as the reader knows.
+  /// When the server measured this, as far as the reader can tell.
   instant mMeasuredAt{};
 };
 
--- a/Libraries/LibPlacement/ShardOwner.h
+++ b/Libraries/LibPlacement/ShardOwner.h
@@ -7,8 +7,8 @@
 
 namespace lycheeseam {
 
-/// The instance that holds the knowledge of a block and of all with its root;
-/// null without any instance. All who know the same instances agree.
+/// The instance whose shard contains a block and all others with its root; null
+/// if there is no instance. Equal lists of instances give the same owner.
 instance_id const*
 ShardOwner(block_hash aBlock, std::span<instance_id const> aInstances);
 
--- a/Libraries/LibPlacement/TokenEstimate.h
+++ b/Libraries/LibPlacement/TokenEstimate.h
@@ -6,8 +6,8 @@
 
 namespace lycheeseam {
 
-/// Bytes of prompt text that make one token, for estimates before an engine
-/// has counted.
+/// Bytes of prompt text per token, for estimates before an engine has counted
+/// the tokens.
 inline constexpr std::size_t kBytesPerToken = 4;
 
 /// Tokens in one block of a prefix chain.
@@ -19,7 +19,7 @@
 /// Tokens in one piece of the KV store.
 inline constexpr token_count kPieceTokens = 16 * kBlockTokens;
 
-/// About how many tokens a text of that size has, rounded up.
+/// Estimates the number of tokens in a text of aBytes bytes, rounded up.
 constexpr token_count
 EstimateTokens(std::size_t aBytes)
 {
--- a/Tests/LibPlacement/TestBlockMap.cpp
+++ b/Tests/LibPlacement/TestBlockMap.cpp
@@ -47,75 +47,76 @@
 /// A map and a prompt of ten blocks.
 struct map_and_prompt
 {
-  [[nodiscard]] std::size_t Known(instant aNow,
-                                  incarnation aIncarnation = kIncarnation) const
+  [[nodiscard]] std::size_t KnownBlocks(
+    instant aNow,
+    incarnation aIncarnation = kIncarnation) const
   {
     return static_cast<std::size_t>(
       mMap.Find(kServer, aIncarnation, mBlocks, aNow).mTokens / kBlockTokens);
   }
 
-  block_map mMap{ { .mFirstRetention = 10s } };
+  block_map mMap{ { .mInitialRetention = 10s } };
   std::vector<block_hash> mBlocks = Blocks(1, 10);
 };
 
-TEST(TestBlockMap, KnowsWhatWasSentAndWhatEventsSay)
+TEST(TestBlockMap, CountsBlocksOfRequestsAndOfEvents)
 {
   map_and_prompt given;
   given.mMap.OnSent(
     kServer, kIncarnation, std::span(given.mBlocks).first(4), kStart);
-  EXPECT_EQ(given.Known(kStart), 4U);
+  EXPECT_EQ(given.KnownBlocks(kStart), 4U);
   SendEvents(given.mMap, 1, cache_change::Stored, given.mBlocks, kStart);
-  EXPECT_EQ(given.Known(kStart), 10U);
+  EXPECT_EQ(given.KnownBlocks(kStart), 10U);
   SendEvents(given.mMap,
              2,
              cache_change::Removed,
              std::span(given.mBlocks).last(3),
              kStart);
-  EXPECT_EQ(given.Known(kStart), 7U);
+  EXPECT_EQ(given.KnownBlocks(kStart), 7U);
 }
 
-TEST(TestBlockMap, ADeadIncarnationIsNeverReliedOn)
+TEST(TestBlockMap, BlocksOfAnOlderIncarnationAreNotCounted)
 {
   map_and_prompt given;
   SendEvents(given.mMap, 1, cache_change::Stored, given.mBlocks, kStart);
   given.mMap.OnSent(kServer, kIncarnation, given.mBlocks, kStart);
   given.mMap.OnIncarnation(kServer, kIncarnation.Next());
-  EXPECT_EQ(given.Known(kStart), 0U);
-  EXPECT_EQ(given.Known(kStart, kIncarnation.Next()), 0U);
-  // What the old life still sends late changes nothing.
+  EXPECT_EQ(given.KnownBlocks(kStart), 0U);
+  EXPECT_EQ(given.KnownBlocks(kStart, kIncarnation.Next()), 0U);
+  // Late events and answers of the old incarnation change nothing.
   SendEvents(given.mMap, 2, cache_change::Stored, given.mBlocks, kStart);
   given.mMap.OnAnswer(kServer, kIncarnation, given.mBlocks, 2560, kStart);
-  EXPECT_EQ(given.Known(kStart), 0U);
-  EXPECT_EQ(given.Known(kStart, kIncarnation.Next()), 0U);
+  EXPECT_EQ(given.KnownBlocks(kStart), 0U);
+  EXPECT_EQ(given.KnownBlocks(kStart, kIncarnation.Next()), 0U);
 }
 
-TEST(TestBlockMap, ANewLifeShownByEventsDropsTheOld)
+TEST(TestBlockMap, EventsOfANewIncarnationDiscardTheOldBlocks)
 {
   map_and_prompt given;
   given.mMap.OnSent(kServer, kIncarnation, given.mBlocks, kStart);
   SendEvents(
     given.mMap, 1, cache_change::Stored, {}, kStart, kIncarnation.Next());
-  EXPECT_EQ(given.Known(kStart), 0U);
-  EXPECT_EQ(given.Known(kStart, kIncarnation.Next()), 0U);
+  EXPECT_EQ(given.KnownBlocks(kStart), 0U);
+  EXPECT_EQ(given.KnownBlocks(kStart, kIncarnation.Next()), 0U);
 }
 
-TEST(TestBlockMap, EventsBeforeAGapAreNotReliedOn)
+TEST(TestBlockMap, EventsBeforeAGapAreNotCounted)
 {
   map_and_prompt given;
   SendEvents(given.mMap, 1, cache_change::Stored, given.mBlocks, kStart);
-  EXPECT_EQ(given.Known(kStart), 10U);
+  EXPECT_EQ(given.KnownBlocks(kStart), 10U);
   SendEvents(given.mMap, 3, cache_change::Stored, {}, kStart);
-  EXPECT_EQ(given.Known(kStart), 0U);
-  // The batch after the gap counts, also within the clock's tick.
+  EXPECT_EQ(given.KnownBlocks(kStart), 0U);
+  // The batch after the gap counts, even within the same clock tick.
   SendEvents(given.mMap,
              5,
              cache_change::Stored,
              std::span(given.mBlocks).first(2),
              kStart);
-  EXPECT_EQ(given.Known(kStart), 2U);
+  EXPECT_EQ(given.KnownBlocks(kStart), 2U);
 }
 
-TEST(TestBlockMap, ALateBatchStoresNothingButRemoves)
+TEST(TestBlockMap, ALateBatchOnlyRemoves)
 {
   map_and_prompt given;
   SendEvents(given.mMap,
@@ -124,33 +125,33 @@
              std::span(given.mBlocks).first(5),
              kStart);
   SendEvents(given.mMap, 2, cache_change::Stored, given.mBlocks, kStart);
-  EXPECT_EQ(given.Known(kStart), 5U);
+  EXPECT_EQ(given.KnownBlocks(kStart), 5U);
   SendEvents(given.mMap,
              1,
              cache_change::Removed,
              std::span(given.mBlocks).subspan(3, 1),
              kStart);
-  EXPECT_EQ(given.Known(kStart), 3U);
+  EXPECT_EQ(given.KnownBlocks(kStart), 3U);
 }
 
-TEST(TestBlockMap, ASilentStreamIsNotReliedOn)
+TEST(TestBlockMap, EventsOfAnUnresponsiveStreamAreNotCounted)
 {
   map_and_prompt given;
   SendEvents(given.mMap, 1, cache_change::Stored, given.mBlocks, kStart);
-  EXPECT_EQ(given.Known(kStart + 4s), 10U);
-  EXPECT_EQ(given.Known(kStart + 6s), 0U);
+  EXPECT_EQ(given.KnownBlocks(kStart + 4s), 10U);
+  EXPECT_EQ(given.KnownBlocks(kStart + 6s), 0U);
   SendEvents(given.mMap, 2, cache_change::Stored, {}, kStart + 6s);
-  EXPECT_EQ(given.Known(kStart + 6s), 10U);
+  EXPECT_EQ(given.KnownBlocks(kStart + 6s), 10U);
 }
 
-TEST(TestBlockMap, RequestsCountThroughAGapForTheRetentionOnly)
+TEST(TestBlockMap, RequestsCountDespiteAGapUntilTheRetentionEnds)
 {
   map_and_prompt given;
   given.mMap.OnSent(kServer, kIncarnation, given.mBlocks, kStart);
   SendEvents(given.mMap, 1, cache_change::Stored, {}, kStart);
   SendEvents(given.mMap, 3, cache_change::Stored, {}, kStart);
-  EXPECT_EQ(given.Known(kStart + 9s), 10U);
-  EXPECT_EQ(given.Known(kStart + 11s), 0U);
+  EXPECT_EQ(given.KnownBlocks(kStart + 9s), 10U);
+  EXPECT_EQ(given.KnownBlocks(kStart + 11s), 0U);
 }
 
 TEST(TestBlockMap, AnswersCorrectTheRetention)
@@ -159,28 +160,29 @@
   for (int request = 0; request < 30; ++request) {
     instant const now = kStart + request * 3s;
     given.mMap.OnSent(kServer, kIncarnation, given.mBlocks, now);
-    // The engine found less than was believed: it evicts faster.
+    // The engine had less cached than expected, so it evicts faster.
     given.mMap.OnAnswer(kServer, kIncarnation, given.mBlocks, 0, now + 1s);
   }
-  EXPECT_EQ(given.Known(kStart + 29 * 3s + 1500ms), 10U);
-  // Confirmed by the last answer at one second, gone two seconds later.
-  EXPECT_EQ(given.Known(kStart + 29 * 3s + 3300ms), 0U);
+  EXPECT_EQ(given.KnownBlocks(kStart + 29 * 3s + 1500ms), 10U);
+  // The last answer confirmed the blocks at 1 s; by 3.3 s the retention has
+  // passed.
+  EXPECT_EQ(given.KnownBlocks(kStart + 29 * 3s + 3300ms), 0U);
 }
 
-TEST(TestBlockTable, MemoryStaysFixedAndFewAreLostAtTheMeantSize)
+TEST(TestBlockTable, SizeIsBoundedAndFewEntriesAreLostAtThePlannedNumber)
 {
   constexpr std::size_t kEntries = 50'000;
   block_map map{ { .mEntries = kEntries } };
   EXPECT_LE(map.Bytes(), kEntries * 26);
   std::vector<block_hash> const blocks = Blocks(1, kEntries);
   map.OnSent(kServer, kIncarnation, blocks, kStart);
-  std::size_t held = 0;
+  std::size_t found = 0;
   for (block_hash const& block : blocks) {
     if (map.Find(kServer, kIncarnation, std::span{ &block, 1 }, kStart)
           .mTokens > 0)
-      ++held;
+      ++found;
   }
-  EXPECT_GE(held, kEntries * 95 / 100);
+  EXPECT_GE(found, kEntries * 95 / 100);
 }
 
 }
--- a/Tests/LibPlacement/TestBlockShard.cpp
+++ b/Tests/LibPlacement/TestBlockShard.cpp
@@ -13,7 +13,7 @@
 
 using namespace std::chrono_literals;
 
-TEST(TestBlockShard, AnswersWithTheLongestHoldersFirst)
+TEST(TestBlockShard, AnswersWithTheLongestPrefixesFirst)
 {
   block_shard shard;
   std::vector<placement_candidate> candidates(3);
@@ -40,7 +40,7 @@
   EXPECT_EQ(answer.mKnown[1].mTokens, 256);
 }
 
-TEST(TestBlockShard, TheStoreCountsInWholePieces)
+TEST(TestBlockShard, StoredTokensAreMultiplesOfAPiece)
 {
   block_shard shard;
   std::vector<block_hash> blocks;
@@ -51,20 +51,21 @@
   EXPECT_EQ(shard.Answer({ .mBlocks = blocks }, {}, {}).mStoredTokens, 4096);
 }
 
-TEST(TestLookupDeadlines, AnAnswerAfterTheDeadlineIsForNobody)
+TEST(TestLookupDeadlines, AnAnswerAfterTheDeadlineHasNoRequest)
 {
   lookup_deadlines lookups;
   lookup_number const first = lookups.Begin(ticket{ 1 }, instant{});
   lookup_number const second = lookups.Begin(ticket{ 2 }, instant{} + 1ms);
-  EXPECT_EQ(lookups.NextDeadline(), instant{} + lookup_deadlines::kPatience);
-  EXPECT_EQ(lookups.Expire(instant{} + lookup_deadlines::kPatience),
+  EXPECT_EQ(lookups.NextDeadline(),
+            instant{} + lookup_deadlines::kAnswerTimeout);
+  EXPECT_EQ(lookups.Expire(instant{} + lookup_deadlines::kAnswerTimeout),
             std::vector{ ticket{ 1 } });
   EXPECT_EQ(lookups.End(first), std::nullopt);
   EXPECT_EQ(lookups.End(second), ticket{ 2 });
   EXPECT_EQ(lookups.NextDeadline(), std::nullopt);
 }
 
-TEST(TestShardOwner, AllAgreeAndALossMovesOnlyItsRoots)
+TEST(TestShardOwner, RemovingAnInstanceMovesOnlyItsRoots)
 {
   std::vector<instance_id> instances;
   instances.reserve(8);
@@ -80,7 +81,7 @@
   }
 }
 
-TEST(TestLoadTracker, AReportReplacesWhatWasSentBeforeIt)
+TEST(TestLoadTracker, AReportReplacesTokensSentBeforeIt)
 {
   load_tracker tracker;
   tracker.OnSent(100, instant{} + 1s);
--- a/Tests/LibPlacement/TestPrefixChain.cpp
+++ b/Tests/LibPlacement/TestPrefixChain.cpp
@@ -16,7 +16,7 @@
            .mWeights = weights_version{ aWeights } };
 }
 
-TEST(TestPrefixChain, EqualPrefixesShareTheirBlocks)
+TEST(TestPrefixChain, EqualPrefixesHaveEqualBlocks)
 {
   std::string const shared(3 * kBlockBytes, 'x');
   cache_scope const scope = Scope("shop", "v1");
@@ -29,7 +29,7 @@
   EXPECT_EQ(one.Root(), two.Root());
 }
 
-TEST(TestPrefixChain, AllBlocksOfARootHaveOneShard)
+TEST(TestPrefixChain, AllBlocksOfARootBelongToOneShard)
 {
   std::string const text(8 * kBlockBytes, 'x');
   prefix_chain const chain = prefix_chain::OfText(Scope("shop", "v1"), text);
@@ -37,7 +37,7 @@
     EXPECT_EQ(ShardKey(block), ShardKey(chain.Root()));
 }
 
-TEST(TestPrefixChain, AChangeChangesAllBlocksAfterIt)
+TEST(TestPrefixChain, AChangeAffectsAllBlocksFromItOn)
 {
   cache_scope const scope = Scope("shop", "v1");
   std::string text(4 * kBlockBytes, 'x');
@@ -49,7 +49,7 @@
     EXPECT_NE(before.Blocks()[index], after.Blocks()[index]);
 }
 
-TEST(TestPrefixChain, WorkspacesAndWeightsShareNothing)
+TEST(TestPrefixChain, RootsDifferByWorkspaceAndWeights)
 {
   std::string const text(kBlockBytes, 'x');
   block_hash const root =
@@ -68,7 +68,7 @@
             prefix_chain::OfText(Scope("shop", "v1"), "world").Root());
 }
 
-TEST(TestPrefixChain, CountsWholeBlocksOfTokens)
+TEST(TestPrefixChain, CountsCompleteBlocksOfTokens)
 {
   rc::check([](std::vector<std::uint32_t> const& aTokens) {
     prefix_chain const chain =
--- a/Tests/LibPlacement/TestPrefixCostPolicy.cpp
+++ b/Tests/LibPlacement/TestPrefixCostPolicy.cpp
@@ -10,10 +10,10 @@
 
 using namespace std::chrono_literals;
 
-/// Three servers, the second of which holds most of the prompt.
-struct scene
+/// Three servers, the second of which has most of the prompt cached.
+struct three_servers
 {
-  scene()
+  three_servers()
   {
     for (std::size_t index = 0; index < mServers.size(); ++index) {
       mServers[index].mServer = backend_server_id{ std::to_string(index) };
@@ -25,7 +25,7 @@
     mRequest = { .mRoot = block_hash{ 9 },
                  .mPromptTokens = 8000,
                  .mKnown = mKnown,
-                 .mKnowledge = knowledge_state::Answered };
+                 .mLookupState = lookup_state::Answered };
   }
 
   [[nodiscard]] placement_choice Choose() const
@@ -38,25 +38,25 @@
   placement_request mRequest;
 };
 
-TEST(TestPrefixCostPolicy, TakesTheServerThatHoldsThePrefix)
+TEST(TestPrefixCostPolicy, ChoosesTheServerThatCachesThePrefix)
 {
-  scene given;
+  three_servers given;
   EXPECT_EQ(given.Choose().mIndex, 1U);
   EXPECT_EQ(given.Choose().mReason, placement_reason::CachedPrefix);
   EXPECT_EQ(given.Choose().mExpectedCached, 7000);
 }
 
-TEST(TestPrefixCostPolicy, AHotPrefixSpreadsOnceItsHolderIsBusy)
+TEST(TestPrefixCostPolicy, AHotPrefixSpreadsWhenItsServerIsBusy)
 {
-  scene given;
+  three_servers given;
   given.mServers[1].mLoad.mQueuedTokens = 40'000;
   EXPECT_NE(given.Choose().mIndex, 1U);
   EXPECT_EQ(given.Choose().mReason, placement_reason::Recompute);
 }
 
-TEST(TestPrefixCostPolicy, AnotherLifeOfTheHolderCountsForNothing)
+TEST(TestPrefixCostPolicy, APrefixOfAnotherIncarnationIsIgnored)
 {
-  scene given;
+  three_servers given;
   given.mServers[1].mIncarnation = incarnation{ 8 };
   EXPECT_EQ(given.Choose().mExpectedCached, 0);
   EXPECT_EQ(given.Choose().mReason, placement_reason::Recompute);
@@ -64,7 +64,7 @@
 
 TEST(TestPrefixCostPolicy, ImportsStoredPiecesWhereThatIsCheaper)
 {
-  scene given;
+  three_servers given;
   given.mServers[1].mBreaker = breaker_state::Open;
   given.mRequest.mStoredTokens = 4096;
   EXPECT_EQ(given.Choose().mReason, placement_reason::StoredPieces);
@@ -73,25 +73,25 @@
   EXPECT_EQ(given.Choose().mReason, placement_reason::CachedPrefix);
 }
 
-TEST(TestPrefixCostPolicy, WithoutKnowledgeHashingDecides)
+TEST(TestPrefixCostPolicy, HashingDecidesWithoutALookupAnswer)
 {
-  scene given;
-  given.mRequest.mKnowledge = knowledge_state::Missing;
+  three_servers given;
+  given.mRequest.mLookupState = lookup_state::Missing;
   EXPECT_EQ(given.Choose().mReason, placement_reason::HashOwner);
 }
 
-TEST(TestPrefixCostPolicy, PrefersTheNearerOfEquals)
+TEST(TestPrefixCostPolicy, PrefersItsOwnFailureDomainAmongEquals)
 {
-  scene given;
+  three_servers given;
   given.mRequest.mKnown = {};
   given.mRequest.mFailureDomain = failure_domain{ "b" };
   given.mServers[2].mFailureDomain = failure_domain{ "b" };
   EXPECT_EQ(given.Choose().mIndex, 2U);
 }
 
-TEST(TestPrefixCostPolicy, AgesLoadByItsLag)
+TEST(TestPrefixCostPolicy, ReducesTheReportedLoadByItsAge)
 {
-  scene given;
+  three_servers given;
   given.mServers[1].mLoad = { .mQueuedTokens = 40'000,
                               .mMeasuredAt = instant{} };
   placement_choice const later = *prefix_cost_policy{}.Choose(
--- a/Tests/LibPlacement/TestSimplePolicies.cpp
+++ b/Tests/LibPlacement/TestSimplePolicies.cpp
@@ -42,14 +42,14 @@
   EXPECT_FALSE(aPolicy.Choose(Prompt(1), servers, instant{}));
 }
 
-TEST(TestSimplePolicies, TakeOnlyEligibleServers)
+TEST(TestSimplePolicies, ChooseOnlyEligibleServers)
 {
   ExpectOnlyEligible(round_robin_policy{});
   ExpectOnlyEligible(least_loaded_policy{});
   ExpectOnlyEligible(rendezvous_policy{});
 }
 
-TEST(TestSimplePolicies, RoundRobinTakesTurns)
+TEST(TestSimplePolicies, RoundRobinChoosesServersInTurn)
 {
   round_robin_policy policy;
   std::vector<placement_candidate> const servers = Servers(3);
@@ -57,7 +57,7 @@
     EXPECT_EQ(policy.Choose(Prompt(7), servers, instant{})->mIndex, expected);
 }
 
-TEST(TestSimplePolicies, LeastLoadedCountsWhatItSentItself)
+TEST(TestSimplePolicies, LeastLoadedCountsTokensSentSinceTheReport)
 {
   least_loaded_policy policy;
   std::vector<placement_candidate> servers = Servers(2);
@@ -66,7 +66,7 @@
   EXPECT_EQ(policy.Choose(Prompt(7), servers, instant{})->mIndex, 0U);
 }
 
-TEST(TestSimplePolicies, RendezvousKeepsAPrefixAndMovesFew)
+TEST(TestSimplePolicies, RendezvousMovesOnlyPrefixesOfARemovedServer)
 {
   rendezvous_policy const policy;
   std::vector<placement_candidate> const all = Servers(10);
@@ -85,7 +85,7 @@
   EXPECT_LT(moved, 90);
 }
 
-TEST(TestSimplePolicies, RendezvousPassesOverAServerAboveItsBound)
+TEST(TestSimplePolicies, RendezvousSkipsAServerAboveTheLoadBound)
 {
   rendezvous_policy const policy;
   std::vector<placement_candidate> servers = Servers(4);
