--- a/Libraries/LibFleet/FleetLinks.h
+++ b/Libraries/LibFleet/FleetLinks.h
@@ -155,7 +155,7 @@
   // Reports serve as heartbeats; a link without any is pinged.
   static quiet_link_options LinkOptions()
   {
-    return { .mBeatInterval = {},
+    return { .mHeartbeatInterval = {},
              .mQuietInterval = std::chrono::milliseconds{ 500 },
              .mPingInterval = std::chrono::milliseconds{ 200 },
              .mPingLimit = 3 };
