--- a/Libraries/LibEvents/EventCount.h
+++ b/Libraries/LibEvents/EventCount.h
@@ -5,7 +5,8 @@
 
 namespace lycheeseam {
 
-/// How often an event came, whether or not its lines were written.
+/// The number of occurrences of one kind of event, whether or not their lines
+/// were written.
 struct event_count
 {
   std::string mEvent;
--- a/Libraries/LibEvents/EventField.h
+++ b/Libraries/LibEvents/EventField.h
@@ -7,7 +7,7 @@
 
 namespace lycheeseam {
 
-/// One named value of an event.
+/// One named value of a line of the structured log.
 struct event_field
 {
   std::string_view mName;
--- a/Libraries/LibEvents/EventLog.cpp
+++ b/Libraries/LibEvents/EventLog.cpp
@@ -18,12 +18,13 @@
 
 namespace {
 
-// A line a request at the usual rate of an instance, with some room.
+// Allows one line per request at the usual request rate of an instance, with
+// headroom.
 constexpr double kLinesPerSecond = 100;
 constexpr double kBurstLines = 300;
-// Fits a pipe's atomic write.
+// Below PIPE_BUF (4096 bytes), up to which a write to a pipe is atomic.
 constexpr std::size_t kMaxLineBytes = 4'000;
-constexpr std::string_view kDropped = "line_dropped";
+constexpr std::string_view kLineDroppedEvent = "line_dropped";
 
 using event_counts = std::map<std::string, std::uint64_t, std::less<>>;
 
@@ -35,7 +36,7 @@
   bool mIsOpen = false;
   event_counts mCounts;
 
-  // Held by the logging library, which lives longer.
+  // Owned by the logging library, which outlives this state.
   pipe_appender* mAppender = nullptr;
 
   void Count(std::string_view aEvent, std::uint64_t aTimes = 1)
@@ -47,13 +48,13 @@
       mCounts.emplace(aEvent, aTimes);
   }
 
-  // The lines lost since the last line.
+  // Returns the number of lines dropped since the last written line.
   std::uint64_t TakeDropped()
   {
-    std::uint64_t const atPipe = mAppender->TakeDropped();
-    if (atPipe > 0)
-      Count(kDropped, atPipe);
-    return atPipe + mLimit.TakeDropped();
+    std::uint64_t const droppedByAppender = mAppender->TakeDropped();
+    if (droppedByAppender > 0)
+      Count(kLineDroppedEvent, droppedByAppender);
+    return droppedByAppender + mLimit.TakeDropped();
   }
 };
 
@@ -65,7 +66,7 @@
 }
 
 log4cplus::Logger&
-Events()
+EventLogger()
 {
   static log4cplus::Logger logger = log4cplus::Logger::getInstance("events");
   return logger;
@@ -82,10 +83,10 @@
     return;
   state.mInstance = aInstance;
   state.mIsOpen = true;
-  Events().setAdditivity(false);
-  Events().setLogLevel(log4cplus::INFO_LOG_LEVEL);
+  EventLogger().setAdditivity(false);
+  EventLogger().setLogLevel(log4cplus::INFO_LOG_LEVEL);
   state.mAppender = new pipe_appender{ STDOUT_FILENO };
-  Events().addAppender(log4cplus::SharedAppenderPtr{ state.mAppender });
+  EventLogger().addAppender(log4cplus::SharedAppenderPtr{ state.mAppender });
 }
 
 void
@@ -97,7 +98,7 @@
   if (!state.mIsOpen)
     return;
   if (!state.mLimit.TryTake(boot_clock::now()))
-    return state.Count(kDropped);
+    return state.Count(kLineDroppedEvent);
   nlohmann::ordered_json line{ { "at_ms", TimeOfDay().count() },
                                { "instance", state.mInstance },
                                { "event", aEvent } };
@@ -112,10 +113,10 @@
   std::string const text =
     line.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
   if (text.size() > kMaxLineBytes) {
-    state.mLimit.OnLost();
-    return state.Count(kDropped);
+    state.mLimit.OnDropped();
+    return state.Count(kLineDroppedEvent);
   }
-  Events().log(log4cplus::INFO_LOG_LEVEL, text);
+  EventLogger().log(log4cplus::INFO_LOG_LEVEL, text);
 }
 
 std::vector<event_count>
@@ -123,11 +124,11 @@
 {
   event_log_state& state = State();
   std::lock_guard const lock{ state.mMutex };
-  std::vector<event_count> taken;
-  for (event_counts::value_type const& counted : state.mCounts)
-    taken.push_back({ .mEvent = counted.first, .mCount = counted.second });
+  std::vector<event_count> counts;
+  for (event_counts::value_type const& entry : state.mCounts)
+    counts.push_back({ .mEvent = entry.first, .mCount = entry.second });
   state.mCounts.clear();
-  return taken;
+  return counts;
 }
 
 }
--- a/Libraries/LibEvents/EventLog.h
+++ b/Libraries/LibEvents/EventLog.h
@@ -7,22 +7,25 @@
 #include <string_view>
 #include <vector>
 
-/// \file The structured log: one JSON object a line on standard output.
+/// \file The structured log: one JSON object per line on standard output.
 
 namespace lycheeseam {
 
-/// Opens the log of this process; aInstance stands on each line.
+/// Opens the log of this process; each line has aInstance in its field
+/// "instance".
 void
 OpenEventLog(std::string_view aInstance);
 
-/// Writes a line with the event's name and its fields. Never blocks: lines
-/// beyond the bound, or that the reader of standard output doesn't take, are
-/// left out, and the next line tells how many. Safe from any thread.
+/// Writes a line with the event's name and its fields. Never blocks: a line is
+/// dropped when it exceeds the rate limit or the size limit, or when standard
+/// output isn't writable; the next line has the number of dropped lines. Safe
+/// from any thread.
 void
 LogEvent(std::string_view aEvent, std::initializer_list<event_field> aFields);
 
-/// How often each event came since the last call, its lines left out or not;
-/// lines left out count as "line_dropped" besides. Safe from any thread.
+/// Takes the number of occurrences of each event since the last call, whether
+/// or not their lines were dropped; each dropped line also counts as a
+/// "line_dropped" event. Safe from any thread.
 std::vector<event_count>
 TakeEventCounts();
 
--- a/Libraries/LibEvents/EventRateLimit.cpp
+++ b/Libraries/LibEvents/EventRateLimit.cpp
@@ -12,12 +12,12 @@
   double const seconds =
     std::chrono::duration<double>(aNow - mFilledAt).count();
   mFilledAt = aNow;
-  mLevel = std::min(mBurst, mLevel + seconds * mRate);
-  if (mLevel < 1.0) {
+  mTokens = std::min(mBurst, mTokens + seconds * mRate);
+  if (mTokens < 1.0) {
     ++mDropped;
     return false;
   }
-  mLevel -= 1.0;
+  mTokens -= 1.0;
   return true;
 }
 
--- a/Libraries/LibEvents/EventRateLimit.h
+++ b/Libraries/LibEvents/EventRateLimit.h
@@ -6,30 +6,31 @@
 
 namespace lycheeseam {
 
-/// Bounds the lines that a process writes, and counts those that it left out.
+/// A token bucket that limits the log lines of a process and counts the
+/// dropped ones.
 class event_rate_limit
 {
 public:
   event_rate_limit(double aLinesPerSecond, double aBurst)
     : mRate(aLinesPerSecond)
     , mBurst(aBurst)
-    , mLevel(aBurst)
+    , mTokens(aBurst)
   {
   }
 
-  /// True when a line may be written now; counts it as left out otherwise.
+  /// True when a line may be written now; otherwise counts it as dropped.
   [[nodiscard]] bool TryTake(instant aNow);
 
-  /// Takes the count of lines left out since the last call.
+  /// Takes the number of lines dropped since the last call.
   [[nodiscard]] std::uint64_t TakeDropped();
 
-  /// A line was lost on its way out.
-  void OnLost() { ++mDropped; }
+  /// Counts a line that was dropped after TryTake admitted it.
+  void OnDropped() { ++mDropped; }
 
 private:
   double mRate;
   double mBurst;
-  double mLevel;
+  double mTokens;
   instant mFilledAt{};
   std::uint64_t mDropped = 0;
 };
--- a/Libraries/LibEvents/PipeAppender.cpp
+++ b/Libraries/LibEvents/PipeAppender.cpp
@@ -16,15 +16,16 @@
 void
 pipe_appender::append(log4cplus::spi::InternalLoggingEvent const& aEvent)
 {
-  // Asked first rather than set to non-blocking, since others may share the
-  // descriptor. A pipe that takes anything takes a line of this size whole.
-  pollfd output{ .fd = mOutput, .events = POLLOUT, .revents = 0 };
+  // Polls instead of setting O_NONBLOCK, since other processes may share the
+  // descriptor. A writable pipe has room for PIPE_BUF bytes, which is more than
+  // the longest line.
+  pollfd output{ .fd = mDescriptor, .events = POLLOUT, .revents = 0 };
   if (::poll(&output, 1, 0) != 1 || (output.revents & POLLOUT) == 0) {
     ++mDropped;
     return;
   }
   std::string const line = aEvent.getMessage() + "\n";
-  if (::write(mOutput, line.data(), line.size()) < 0)
+  if (::write(mDescriptor, line.data(), line.size()) < 0)
     ++mDropped;
 }
 
--- a/Libraries/LibEvents/PipeAppender.h
+++ b/Libraries/LibEvents/PipeAppender.h
@@ -7,12 +7,12 @@
 
 namespace lycheeseam {
 
-/// Writes lines to a pipe or a file, and drops those that would block.
+/// Writes log lines to a pipe or a file, and drops those that would block.
 class pipe_appender : public log4cplus::Appender
 {
 public:
-  explicit pipe_appender(int aOutput)
-    : mOutput(aOutput)
+  explicit pipe_appender(int aDescriptor)
+    : mDescriptor(aDescriptor)
   {
   }
   pipe_appender(pipe_appender const&) = delete;
@@ -21,7 +21,7 @@
 
   void close() override { closed = true; }
 
-  /// Takes the count of lines dropped since the last call.
+  /// Takes the number of lines dropped since the last call.
   [[nodiscard]] std::uint64_t TakeDropped()
   {
     return std::exchange(mDropped, 0);
@@ -31,7 +31,7 @@
   void append(log4cplus::spi::InternalLoggingEvent const& aEvent) override;
 
 private:
-  int mOutput;
+  int mDescriptor;
   std::uint64_t mDropped = 0;
 };
 
--- a/Tests/LibEvents/TestEventRateLimit.cpp
+++ b/Tests/LibEvents/TestEventRateLimit.cpp
@@ -11,7 +11,7 @@
 
 instant const kNow{ std::chrono::seconds{ 100 } };
 
-TEST(TestEventRateLimit, TakesTheBurstAndThenTheRate)
+TEST(TestEventRateLimit, AllowsTheBurstAndThenTheRate)
 {
   event_rate_limit limit{ 10, 3 };
   for (int line = 0; line < 3; ++line)
@@ -21,13 +21,13 @@
   EXPECT_FALSE(limit.TryTake(kNow + milliseconds{ 150 }));
 }
 
-TEST(TestEventRateLimit, CountsWhatItLeftOutOnce)
+TEST(TestEventRateLimit, ReportsEachDroppedLineOnce)
 {
   event_rate_limit limit{ 10, 1 };
   EXPECT_TRUE(limit.TryTake(kNow));
   EXPECT_FALSE(limit.TryTake(kNow));
   EXPECT_FALSE(limit.TryTake(kNow));
-  limit.OnLost();
+  limit.OnDropped();
   EXPECT_EQ(limit.TakeDropped(), 3u);
   EXPECT_EQ(limit.TakeDropped(), 0u);
 }
--- a/Tests/LibEvents/TestPipeAppender.cpp
+++ b/Tests/LibEvents/TestPipeAppender.cpp
@@ -47,18 +47,19 @@
     log4cplus::Logger::getInstance("TestPipeAppender");
 };
 
-TEST_F(TestPipeAppender, WritesALineAtOnce)
+TEST_F(TestPipeAppender, WritesALineWithoutBuffering)
 {
   Write("first");
   EXPECT_EQ(Read(), "first\n");
   EXPECT_EQ(mAppender->TakeDropped(), 0u);
 }
 
-// The lines that a full pipe lost were counted and never told.
-TEST_F(TestPipeAppender, CountsWhatAFullPipeLoses)
+// Guards against lines that are dropped at a full pipe and reported to nobody:
+// the count has to come from TakeDropped, once.
+TEST_F(TestPipeAppender, CountsLinesDroppedAtAFullPipe)
 {
-  constexpr int kMoreThanAPipeHolds = 200;
-  for (int line = 0; line < kMoreThanAPipeHolds; ++line)
+  constexpr int kLinesBeyondPipeCapacity = 200;
+  for (int line = 0; line < kLinesBeyondPipeCapacity; ++line)
     Write(std::string(1'000, 'x'));
   std::uint64_t const dropped = mAppender->TakeDropped();
   EXPECT_GT(dropped, 0u);
