--- a/Libraries/LibMetrics/CounterDelta.h
+++ b/Libraries/LibMetrics/CounterDelta.h
@@ -6,7 +6,7 @@
 
 namespace lycheeseam {
 
-/// What one thread added to a counter since its last hand-over.
+/// What one thread added to a counter since its last metrics_delta.
 struct counter_delta
 {
   counter_series mSeries;
--- a/Libraries/LibMetrics/CounterHandle.h
+++ b/Libraries/LibMetrics/CounterHandle.h
@@ -4,7 +4,7 @@
 
 namespace lycheeseam {
 
-/// A counter opened at one recorder; valid there for the recorder's life.
+/// Refers to a counter of one metrics_recorder; valid as long as the recorder.
 struct counter_handle
 {
   std::size_t mIndex = 0;
--- a/Libraries/LibMetrics/CounterReport.h
+++ b/Libraries/LibMetrics/CounterReport.h
@@ -6,7 +6,8 @@
 
 namespace lycheeseam {
 
-/// A counter's total with its rate a second over the last seconds.
+/// A counter's total since the start, with its rate per second over the last
+/// event_rate::kWindowTicks seconds.
 struct counter_report
 {
   counter_series mSeries;
--- a/Libraries/LibMetrics/CounterSeries.h
+++ b/Libraries/LibMetrics/CounterSeries.h
@@ -5,12 +5,12 @@
 
 namespace lycheeseam {
 
-/// Names one counter or gauge: a metric with at most one label.
+/// Names one counter, gauge or histogram: a metric with at most one label.
 struct counter_series
 {
-  /// In Prometheus's form without the common prefix: "requests_total".
+  /// The Prometheus name without the common prefix, such as "requests_total".
   std::string mMetric;
-  /// The label's name; empty for no label.
+  /// The label's name; empty when the series has no label.
   std::string mLabel;
   std::string mLabelValue;
 
--- a/Libraries/LibMetrics/EncodePrometheus.cpp
+++ b/Libraries/LibMetrics/EncodePrometheus.cpp
@@ -36,9 +36,9 @@
 }
 
 std::string
-SecondsText(duration aSpan)
+SecondsText(duration aDuration)
 {
-  return NumberText(std::chrono::duration<double>{ aSpan }.count());
+  return NumberText(std::chrono::duration<double>{ aDuration }.count());
 }
 
 std::string
@@ -47,17 +47,18 @@
   return std::string{ aName } + "=\"" + EscapeLabelValue(aValue) + "\"";
 }
 
-// The series' own label, and one more where it has a name.
+// Formats the label of the series, followed by an extra label unless its name
+// is empty.
 std::string
 Labels(counter_series const& aSeries,
-       std::string_view aMore = {},
+       std::string_view aExtraLabel = {},
        std::string_view aValue = {})
 {
   std::string labels;
   if (!aSeries.mLabel.empty())
     labels = Label(aSeries.mLabel, aSeries.mLabelValue);
-  if (!aMore.empty())
-    labels += (labels.empty() ? "" : ",") + Label(aMore, aValue);
+  if (!aExtraLabel.empty())
+    labels += (labels.empty() ? "" : ",") + Label(aExtraLabel, aValue);
   return labels.empty() ? labels : "{" + labels + "}";
 }
 
@@ -81,7 +82,7 @@
   return aScope == latency_scope::Pool ? "pool" : "workspace";
 }
 
-// Writes lines, with a TYPE line before each new metric.
+// Appends sample lines to a text, with a TYPE line when the metric changes.
 class prometheus_writer
 {
 public:
@@ -144,13 +145,13 @@
                          std::string const& aValue) {
     aWriter.Line(series.mMetric, "histogram", aSuffix, aLabels, aValue);
   };
-  std::uint64_t below = 0;
+  std::uint64_t cumulative = 0;
   for (std::size_t index = 0; index < histogram.Buckets().size(); ++index) {
-    below += histogram.Buckets()[index];
+    cumulative += histogram.Buckets()[index];
     std::string const bound = index < latency_histogram::kBounds.size()
                                 ? SecondsText(latency_histogram::kBounds[index])
                                 : "+Inf";
-    write("_bucket", Labels(series, "le", bound), std::to_string(below));
+    write("_bucket", Labels(series, "le", bound), std::to_string(cumulative));
   }
   write("_sum", Labels(series), SecondsText(histogram.Sum()));
   write("_count", Labels(series), std::to_string(histogram.Count()));
--- a/Libraries/LibMetrics/EncodePrometheus.h
+++ b/Libraries/LibMetrics/EncodePrometheus.h
@@ -6,8 +6,8 @@
 
 namespace lycheeseam {
 
-/// The report in Prometheus's text format, version 0.0.4. Every metric has
-/// the prefix "lycheeseam_"; latencies are summaries in seconds.
+/// Encodes a report in Prometheus's text format, version 0.0.4. Every metric
+/// has the prefix "lycheeseam_"; latencies are summaries in seconds.
 std::string
 EncodePrometheus(metrics_report const& aReport);
 
--- a/Libraries/LibMetrics/EventRate.cpp
+++ b/Libraries/LibMetrics/EventRate.cpp
@@ -18,8 +18,8 @@
 void
 event_rate::Tick()
 {
-  mRolling(static_cast<double>(mTotal - mAtLastTick));
-  mAtLastTick = mTotal;
+  mRolling(static_cast<double>(mTotal - mTotalAtLastTick));
+  mTotalAtLastTick = mTotal;
   mHasTicked = true;
 }
 
--- a/Libraries/LibMetrics/EventRate.h
+++ b/Libraries/LibMetrics/EventRate.h
@@ -9,7 +9,8 @@
 
 namespace lycheeseam {
 
-/// A total with its rate over the last kWindowTicks ticks.
+/// Counts events and computes their mean rate over the last kWindowTicks
+/// ticks.
 class event_rate
 {
 public:
@@ -20,13 +21,13 @@
   /// Adds events.
   void Add(std::uint64_t aEvents);
 
-  /// Ends a tick.
+  /// Ends a tick; the caller sets the length of a tick by how often it calls.
   void Tick();
 
-  /// All events since the start.
+  /// The number of events since the start.
   [[nodiscard]] std::uint64_t Total() const noexcept { return mTotal; }
 
-  /// The mean number of events a tick.
+  /// The mean number of events per tick; 0 before the first tick.
   [[nodiscard]] double PerTick() const;
 
 private:
@@ -35,7 +36,7 @@
     boost::accumulators::stats<boost::accumulators::tag::rolling_mean>>;
 
   std::uint64_t mTotal = 0;
-  std::uint64_t mAtLastTick = 0;
+  std::uint64_t mTotalAtLastTick = 0;
   bool mHasTicked = false;
   rolling mRolling;
 };
--- a/Libraries/LibMetrics/GaugeReport.h
+++ b/Libraries/LibMetrics/GaugeReport.h
@@ -4,7 +4,7 @@
 
 namespace lycheeseam {
 
-/// A value that goes up and down.
+/// The current value of a gauge.
 struct gauge_report
 {
   counter_series mSeries;
--- a/Libraries/LibMetrics/HistogramHandle.h
+++ b/Libraries/LibMetrics/HistogramHandle.h
@@ -4,7 +4,8 @@
 
 namespace lycheeseam {
 
-/// A histogram opened at one recorder; valid there for the recorder's life.
+/// Refers to a histogram of one metrics_recorder; valid as long as the
+/// recorder.
 struct histogram_handle
 {
   std::size_t mIndex = 0;
--- a/Libraries/LibMetrics/HistogramReport.h
+++ b/Libraries/LibMetrics/HistogramReport.h
@@ -5,8 +5,9 @@
 
 namespace lycheeseam {
 
-/// A histogram with its name: what one thread added since its last hand-over,
-/// or what all threads added since the start.
+/// A histogram with its name. In a metrics_delta it holds what one thread
+/// added since the last delta, in a metrics_report what all threads added since
+/// the start.
 struct histogram_report
 {
   counter_series mSeries;
--- a/Libraries/LibMetrics/LatencyDelta.h
+++ b/Libraries/LibMetrics/LatencyDelta.h
@@ -5,7 +5,7 @@
 
 namespace lycheeseam {
 
-/// What one thread added to a latency series since its last hand-over.
+/// What one thread added to a latency series since its last metrics_delta.
 struct latency_delta
 {
   latency_series mSeries;
--- a/Libraries/LibMetrics/LatencyHandle.h
+++ b/Libraries/LibMetrics/LatencyHandle.h
@@ -4,8 +4,9 @@
 
 namespace lycheeseam {
 
-/// A pair of pool and workspace opened at one recorder, so that recording a
-/// token needs no look-up; valid there for the recorder's life.
+/// Refers to the latency series of a pool and of a workspace in one
+/// metrics_recorder, so that recording a token needs no lookup. Valid as long
+/// as the recorder.
 struct latency_handle
 {
   std::size_t mPoolIndex = 0;
--- a/Libraries/LibMetrics/LatencyHistogram.h
+++ b/Libraries/LibMetrics/LatencyHistogram.h
@@ -10,13 +10,13 @@
 
 namespace lycheeseam {
 
-/// Counts spans by size. Count and sum are exact; histograms of several
-/// threads or instances add up without a loss.
+/// Counts durations by size. Count and sum are exact; histograms of several
+/// threads or instances can be merged exactly, since all have the same buckets.
 class latency_histogram
 {
 public:
-  /// The largest span of each bucket but the last, which is open. They cover a
-  /// look-up in a service as well as the longest prompt.
+  /// The upper bound, inclusive, of each bucket but the last, which has none.
+  /// The bounds cover both a lookup in a service and the longest prompt.
   static constexpr std::array<std::chrono::milliseconds, 14> kBounds{
     std::chrono::milliseconds{ 5 },      std::chrono::milliseconds{ 10 },
     std::chrono::milliseconds{ 25 },     std::chrono::milliseconds{ 50 },
@@ -27,13 +27,13 @@
     std::chrono::milliseconds{ 15'000 }, std::chrono::milliseconds{ 60'000 }
   };
 
-  /// Adds a span.
+  /// Adds a duration.
   void Add(duration aValue);
 
-  /// Adds all that another histogram counted.
+  /// Adds the counts of another histogram.
   void Merge(latency_histogram const& aOther);
 
-  /// How many spans each bucket holds; the last is open.
+  /// The number of durations in each bucket; the last has no upper bound.
   [[nodiscard]] std::span<std::uint64_t const> Buckets() const noexcept
   {
     return mBuckets;
--- a/Libraries/LibMetrics/LatencyKind.h
+++ b/Libraries/LibMetrics/LatencyKind.h
@@ -7,7 +7,7 @@
 {
   /// From a request's arrival to the first token or byte of its answer.
   FirstToken,
-  /// Between two tokens of one stream.
+  /// Between two consecutive tokens of one stream.
   TokenGap,
   /// From a request's arrival to its dispatch.
   QueueWait,
--- a/Libraries/LibMetrics/LatencyQuantiles.h
+++ b/Libraries/LibMetrics/LatencyQuantiles.h
@@ -4,7 +4,7 @@
 
 namespace lycheeseam {
 
-/// The quantiles that are reported of a latency series.
+/// The quantiles that are reported for a latency series.
 struct latency_quantiles
 {
   duration mP50{};
--- a/Libraries/LibMetrics/LatencyReport.h
+++ b/Libraries/LibMetrics/LatencyReport.h
@@ -8,7 +8,7 @@
 namespace lycheeseam {
 
 /// A latency series: count and sum since the start, quantiles of the last
-/// full window.
+/// complete window, or of the current one when the last one has no samples.
 struct latency_report
 {
   latency_series mSeries;
--- a/Libraries/LibMetrics/LatencySamples.cpp
+++ b/Libraries/LibMetrics/LatencySamples.cpp
@@ -7,15 +7,16 @@
 {
   ++mCount;
   mSum += aValue;
-  if (mKept.size() < kMaxKept) {
-    mKept.push_back(aValue);
+  if (mReservoir.size() < kReservoirSize) {
+    mReservoir.push_back(aValue);
     return;
   }
-  // Reservoir sampling: each of the mCount samples is kept equally likely.
-  std::uniform_int_distribution<std::uint64_t> place{ 0, mCount - 1 };
-  std::uint64_t const chosen = place(aRandom);
-  if (chosen < kMaxKept)
-    mKept[chosen] = aValue;
+  // Reservoir sampling: each of the mCount samples has the same probability of
+  // being kept.
+  std::uniform_int_distribution<std::uint64_t> position{ 0, mCount - 1 };
+  std::uint64_t const index = position(aRandom);
+  if (index < kReservoirSize)
+    mReservoir[index] = aValue;
 }
 
 }
--- a/Libraries/LibMetrics/LatencySamples.h
+++ b/Libraries/LibMetrics/LatencySamples.h
@@ -10,15 +10,15 @@
 
 namespace lycheeseam {
 
-/// The samples of one series since the last hand-over. Count and sum are
-/// exact; of the values a uniform choice is kept, so that a busy series costs
-/// its reader no more than kMaxKept samples.
+/// The samples of one series since the last metrics_delta. Count and sum are
+/// exact. Of the values, a uniform random sample is kept, so that merging a
+/// busy series costs the control thread at most kReservoirSize values.
 class latency_samples
 {
 public:
-  static constexpr std::size_t kMaxKept = 256;
+  static constexpr std::size_t kReservoirSize = 256;
 
-  /// Adds a sample; aRandom decides which of many are kept.
+  /// Adds a sample; aRandom decides which ones stay in a full reservoir.
   void Add(duration aValue, std::minstd_rand& aRandom);
 
   /// The number of samples added.
@@ -27,16 +27,16 @@
   /// The sum of all samples added.
   [[nodiscard]] duration Sum() const noexcept { return mSum; }
 
-  /// The samples that were kept.
-  [[nodiscard]] std::span<duration const> Kept() const noexcept
+  /// The samples that were kept, at most kReservoirSize.
+  [[nodiscard]] std::span<duration const> Reservoir() const noexcept
   {
-    return mKept;
+    return mReservoir;
   }
 
 private:
   std::uint64_t mCount = 0;
   duration mSum{};
-  std::vector<duration> mKept;
+  std::vector<duration> mReservoir;
 };
 
 }
--- a/Libraries/LibMetrics/LatencyScope.h
+++ b/Libraries/LibMetrics/LatencyScope.h
@@ -2,7 +2,7 @@
 
 namespace lycheeseam {
 
-/// What the samples of one latency series have in common.
+/// Whether a latency series holds the samples of a pool or of a workspace.
 enum class latency_scope
 {
   Pool,
--- a/Libraries/LibMetrics/LatencySeries.h
+++ b/Libraries/LibMetrics/LatencySeries.h
@@ -8,8 +8,9 @@
 
 namespace lycheeseam {
 
-/// Names one latency series. Samples count by pool and by workspace, not by
-/// each pair of them, so the number of series stays the sum of the two.
+/// Names one latency series. A sample counts once for its pool and once for
+/// its workspace, not for the pair, so the number of series grows with the sum
+/// of pools and workspaces rather than their product.
 struct latency_series
 {
   latency_kind mKind = latency_kind::FirstToken;
--- a/Libraries/LibMetrics/MetricsDelta.h
+++ b/Libraries/LibMetrics/MetricsDelta.h
@@ -8,8 +8,8 @@
 
 namespace lycheeseam {
 
-/// Everything that one thread recorded since its last hand-over; it posts
-/// this to the control thread.
+/// Everything that one thread recorded since its last delta. The thread posts
+/// it to the control thread, which merges it into the metrics_store.
 struct metrics_delta
 {
   std::vector<counter_delta> mCounters;
--- a/Libraries/LibMetrics/MetricsRecorder.h
+++ b/Libraries/LibMetrics/MetricsRecorder.h
@@ -15,40 +15,40 @@
 
 namespace lycheeseam {
 
-/// Records counts and latencies of one thread, which alone may call it.
+/// Records counts and latencies of one thread; only this thread may call it.
 ///
-/// The thread posts TakeDelta's result to the control thread now and then;
-/// nothing is shared between threads, so recording never waits.
+/// The thread posts the result of TakeDelta to the control thread
+/// periodically. Threads share no state, so recording never blocks.
 class metrics_recorder
 {
 public:
-  /// The counter of that name; opens it at the first call.
+  /// Returns the counter of a series; adds it on the first call.
   counter_handle OpenCounter(counter_series const& aSeries);
 
-  /// The latency series of a pool and a workspace; opens them at the first
-  /// call. An empty name opens a series that is never handed over.
+  /// Returns the latency series of a pool and a workspace; adds them on the
+  /// first call. A series with an empty name is left out of the deltas.
   latency_handle OpenLatency(pool_name const& aPool,
                              workspace_id const& aWorkspace);
 
-  /// The histogram of that name; opens it at the first call.
+  /// Returns the histogram of a series; adds it on the first call.
   histogram_handle OpenHistogram(counter_series const& aSeries);
 
   /// Adds to a counter.
   void Count(counter_handle aCounter, std::uint64_t aAdded = 1);
 
-  /// Adds a sample to a pool's and a workspace's series.
+  /// Adds a sample to the series of the pool and to that of the workspace.
   void RecordLatency(latency_handle aSeries,
                      latency_kind aKind,
                      duration aValue);
 
-  /// Adds a span to a histogram.
+  /// Adds a duration to a histogram.
   void Observe(histogram_handle aHistogram, duration aValue);
 
-  /// What was recorded since the last call.
+  /// Takes what was recorded since the last call.
   [[nodiscard]] metrics_delta TakeDelta();
 
 private:
-  // The samples of one name, one place for each kind.
+  // The samples of one pool or workspace, by latency_kind.
   struct named_samples
   {
     latency_scope mScope = latency_scope::Pool;
--- a/Libraries/LibMetrics/MetricsReport.h
+++ b/Libraries/LibMetrics/MetricsReport.h
@@ -9,7 +9,7 @@
 
 namespace lycheeseam {
 
-/// All metrics at one moment, each kind sorted by series.
+/// All metrics at one time, each kind sorted by series.
 struct metrics_report
 {
   std::vector<counter_report> mCounters;
--- a/Libraries/LibMetrics/MetricsStore.cpp
+++ b/Libraries/LibMetrics/MetricsStore.cpp
@@ -15,7 +15,7 @@
     latency_state& state = mLatencies[latency.mSeries];
     state.mCount += latency.mSamples.Count();
     state.mSum += latency.mSamples.Sum();
-    state.mCurrent.Add(latency.mSamples.Kept());
+    state.mCurrent.Add(latency.mSamples.Reservoir());
   }
 }
 
@@ -54,14 +54,15 @@
     report.mLatencies.push_back({ .mSeries = series,
                                   .mCount = state.mCount,
                                   .mSum = state.mSum,
-                                  .mQuantiles = BestQuantiles(state) });
+                                  .mQuantiles = ReportedQuantiles(state) });
   return report;
 }
 
-// A window that has just begun says too little, so the full one before it is
-// shown until it ends; a process younger than that shows what it has.
+// The current window may have too few samples, so the last complete window is
+// reported. When that has no samples, as before the first window is complete,
+// the current one is reported.
 latency_quantiles
-metrics_store::BestQuantiles(latency_state const& aState)
+metrics_store::ReportedQuantiles(latency_state const& aState)
 {
   if (aState.mPrevious.Count() > 0)
     return aState.mPrevious.Quantiles();
--- a/Libraries/LibMetrics/MetricsStore.h
+++ b/Libraries/LibMetrics/MetricsStore.h
@@ -13,24 +13,24 @@
 
 namespace lycheeseam {
 
-/// The control thread's sum of all recorders.
+/// The merged metrics of all recorders; used on the control thread only.
 class metrics_store
 {
 public:
-  /// The ticks, one a second, after which quantiles start anew.
+  /// The length of a window of the quantiles, in ticks of one second.
   static constexpr std::uint32_t kQuantileWindowTicks = 60;
 
-  /// Adds what one thread recorded.
+  /// Merges what one thread recorded.
   void Merge(metrics_delta const& aDelta);
 
   /// Sets a gauge.
   void SetGauge(counter_series const& aSeries, double aValue);
 
-  /// Called once a second: ends a tick of the rates and, now and then, a
-  /// window of the quantiles.
+  /// To be called once a second. Ends a tick of the rates and, after
+  /// kQuantileWindowTicks ticks, a window of the quantiles.
   void Tick();
 
-  /// The state of all metrics.
+  /// The current state of all metrics.
   [[nodiscard]] metrics_report Report() const;
 
 private:
@@ -42,7 +42,7 @@
     quantile_window mPrevious;
   };
 
-  static latency_quantiles BestQuantiles(latency_state const& aState);
+  static latency_quantiles ReportedQuantiles(latency_state const& aState);
 
   std::map<counter_series, event_rate> mCounters;
   std::map<counter_series, double> mGauges;
--- a/Libraries/LibMetrics/QuantileWindow.cpp
+++ b/Libraries/LibMetrics/QuantileWindow.cpp
@@ -9,7 +9,8 @@
 
 namespace {
 
-// The neighbours of the reported quantiles steady their interpolation.
+// The additional probabilities around the reported ones make the quadratic
+// interpolation more accurate.
 constexpr std::array<double, 7> kProbabilities{ 0.25, 0.5,  0.75, 0.9,
                                                 0.95, 0.99, 0.999 };
 
--- a/Libraries/LibMetrics/QuantileWindow.h
+++ b/Libraries/LibMetrics/QuantileWindow.h
@@ -13,7 +13,8 @@
 
 namespace lycheeseam {
 
-/// Estimates quantiles of the samples of one span of time, in fixed memory.
+/// Estimates the quantiles of the samples of one time window, in constant
+/// memory.
 class quantile_window
 {
 public:
@@ -25,7 +26,7 @@
   /// The number of samples added.
   [[nodiscard]] std::size_t Count() const;
 
-  /// The estimates; all zero without samples.
+  /// The estimated quantiles; all zero without samples.
   [[nodiscard]] latency_quantiles Quantiles() const;
 
 private:
--- a/Tests/LibMetrics/TestMetricsStore.cpp
+++ b/Tests/LibMetrics/TestMetricsStore.cpp
@@ -15,7 +15,7 @@
                                 .mLabel = "route",
                                 .mLabelValue = "chat" };
 
-TEST(TestMetricsStore, SumsRecordersExactly)
+TEST(TestMetricsStore, AddsCountsAndSumsOfRecordersExactly)
 {
   metrics_recorder first;
   metrics_recorder second;
@@ -38,7 +38,7 @@
   EXPECT_EQ(report.mLatencies[1].mSum, milliseconds{ 2000 });
 }
 
-TEST(TestMetricsStore, EstimatesQuantilesOfThinnedSamples)
+TEST(TestMetricsStore, EstimatesQuantilesFromReservoirSamples)
 {
   metrics_store store;
   metrics_recorder recorder;
@@ -56,7 +56,7 @@
   EXPECT_NEAR(found.mP99 / milliseconds{ 1 }, 990, 8);
 }
 
-TEST(TestMetricsStore, QuantilesForgetOldWindows)
+TEST(TestMetricsStore, QuantilesExcludeOlderWindows)
 {
   metrics_store store;
   metrics_recorder recorder;
@@ -77,7 +77,7 @@
   EXPECT_EQ(report.mLatencies[0].mCount, 200u);
 }
 
-TEST(TestMetricsStore, RatesCoverTheLastSeconds)
+TEST(TestMetricsStore, RateCoversOnlyTheLastWindow)
 {
   metrics_store store;
   metrics_recorder recorder;
@@ -94,7 +94,7 @@
                                .mLabel = "route",
                                .mLabelValue = "chat" };
 
-TEST(TestMetricsStore, AddsHistogramsOfSeveralThreads)
+TEST(TestMetricsStore, MergesHistogramsOfSeveralRecorders)
 {
   metrics_recorder first;
   metrics_recorder second;
@@ -136,7 +136,7 @@
     << text;
 }
 
-TEST(TestEncodePrometheus, WritesEachKind)
+TEST(TestEncodePrometheus, WritesCountersGaugesAndSummaries)
 {
   latency_report const latency{ .mSeries = { .mKind = latency_kind::FirstToken,
                                              .mScope = latency_scope::Pool,
@@ -170,7 +170,7 @@
     "lycheeseam_pool_first_token_seconds_count{pool=\"assistant\"} 2\n");
 }
 
-TEST(TestEncodePrometheus, EscapesLabels)
+TEST(TestEncodePrometheus, EscapesLabelValues)
 {
   metrics_report const report{ .mGauges = {
                                  { .mSeries = { .mMetric = "g",
