--- a/Libraries/LibAdmin/AdminAnswer.h
+++ b/Libraries/LibAdmin/AdminAnswer.h
@@ -5,7 +5,7 @@
 
 namespace lycheeseam {
 
-/// The answer to an operator's call.
+/// The HTTP response to an operator's call of the admin API.
 struct admin_answer
 {
   std::uint16_t mStatus = 200;
--- a/Libraries/LibAdmin/AdminCall.h
+++ b/Libraries/LibAdmin/AdminCall.h
@@ -8,7 +8,7 @@
 
 namespace lycheeseam {
 
-/// What an operator's call does.
+/// What an operator's call does to its resource; stands for the HTTP method.
 enum class admin_verb
 {
   Read,
@@ -17,22 +17,25 @@
   Run,
 };
 
-/// Whether an application of a file is only shown or also proposed.
+/// Whether applying a configuration file proposes the changes or only lists
+/// them.
 enum class apply_mode
 {
   Propose,
   DryRun,
 };
 
-/// An operator's call after its key was checked.
+/// An operator's call of the admin API, after its key was checked.
 struct admin_call
 {
   std::string mOperator;
   admin_verb mVerb = admin_verb::Read;
-  /// The parts of the path behind "/v1/", such as "pools" and "assistant".
-  std::string mSubject;
+  /// The two parts of the path after "/v1/", such as "pools" and "assistant";
+  /// the name is empty when the call concerns the whole resource.
+  std::string mResource;
   std::string mName;
-  /// The version that the operator saw; nothing takes the one in force.
+  /// The row version that the change is based on (If-Match); nothing stands
+  /// for the current one.
   std::optional<row_version> mBase;
   apply_mode mMode = apply_mode::Propose;
   std::string mBody;
--- a/Libraries/LibAdmin/AdminCallHandler.h
+++ b/Libraries/LibAdmin/AdminCallHandler.h
@@ -14,10 +14,11 @@
 
 namespace lycheeseam {
 
-/// Takes an answer, once, on the control thread.
+/// Receives the answer to a call; called once, on the control thread.
 using admin_callback = std::function<void(admin_answer)>;
 
-/// Carries out operators' calls on the control thread.
+/// Executes operators' calls: reads tables, and proposes changes to them. Used
+/// on the control thread only.
 template<typename Control>
 class admin_call_handler
 {
@@ -27,10 +28,12 @@
   {
   }
 
-  /// Carries out a call; faults in it become answers.
+  /// Executes a call and passes its answer to aDone; invalid input becomes an
+  /// answer with status 400.
   void Handle(admin_call const& aCall, admin_callback aDone)
   {
-    // Checked here, since the control's class may hold this one.
+    // Not a constraint of the template parameter: Control may have a member of
+    // this type, and is incomplete then.
     static_assert(admin_control<Control>);
     try {
       Dispatch(aCall, aDone);
@@ -42,13 +45,13 @@
 private:
   void Dispatch(admin_call const& aCall, admin_callback const& aDone)
   {
-    if (aCall.mSubject == "status")
+    if (aCall.mResource == "status")
       return aDone({ .mBody = mControl.StatusText() });
-    if (aCall.mSubject == "metrics") {
+    if (aCall.mResource == "metrics") {
       return aDone({ .mContentType = "text/plain; version=0.0.4",
                      .mBody = mControl.MetricsText() });
     }
-    if (aCall.mSubject == "apply")
+    if (aCall.mResource == "apply")
       return Apply(aCall, aDone);
     if (aCall.mVerb == admin_verb::Read)
       return aDone(ReadRows(mControl.Tables(), aCall));
@@ -57,8 +60,8 @@
 
   void Apply(admin_call const& aCall, admin_callback const& aDone)
   {
-    config_file const wanted = DecodeConfigFile(aCall.mBody);
-    std::vector<any_row_change> changes = DiffTables(mControl.Tables(), wanted);
+    config_file const target = DecodeConfigFile(aCall.mBody);
+    std::vector<any_row_change> changes = DiffTables(mControl.Tables(), target);
     if (changes.empty() || aCall.mMode == apply_mode::DryRun)
       return aDone({ .mBody = FormatChanges(changes) });
     Propose(aCall, std::move(changes), aDone);
--- a/Libraries/LibAdmin/AdminControl.h
+++ b/Libraries/LibAdmin/AdminControl.h
@@ -10,12 +10,13 @@
 
 namespace lycheeseam {
 
-/// Takes what became of a proposal; nothing when its end isn't known, or it
-/// surely never came into force because the log is out.
+/// Receives the outcome of a proposal; nothing when the outcome is unknown, or
+/// when the proposal can't come into force because the log is unreachable.
 using proposal_callback =
   std::function<void(std::optional<proposal_outcome> const&)>;
 
-/// What operators' calls need of the control thread; used on that thread.
+/// What admin_call_handler needs of the control state; used on the control
+/// thread only.
 template<typename Control>
 concept admin_control = requires(Control& aControl,
                                  config_proposal aProposal,
--- a/Libraries/LibAdmin/AdminServer.cpp
+++ b/Libraries/LibAdmin/AdminServer.cpp
@@ -17,9 +17,9 @@
 public:
   HTTP_PROTOTYPE(admin_handler)
 
-  admin_handler(operator_directory aOperators, admin_carrier aCarrier)
+  admin_handler(operator_directory aOperators, admin_executor aExecutor)
     : mOperators(std::move(aOperators))
-    , mCarrier(std::move(aCarrier))
+    , mExecutor(std::move(aExecutor))
   {
   }
 
@@ -34,7 +34,7 @@
   }
 
 private:
-  [[nodiscard]] std::optional<std::string> OperatorOf(
+  [[nodiscard]] std::optional<std::string> FindOperator(
     Pistache::Http::Request const& aRequest) const
   {
     static constexpr std::string_view kBearer = "Bearer ";
@@ -48,30 +48,31 @@
   [[nodiscard]] admin_answer Answer(
     Pistache::Http::Request const& aRequest) const
   {
-    // Metrics are open to collectors, which carry no operator's key.
+    // Metrics need no key, since collectors have no operator's key.
     std::string name = "metrics";
     if (aRequest.resource() != "/metrics") {
-      std::optional<std::string> const found = OperatorOf(aRequest);
+      std::optional<std::string> const found = FindOperator(aRequest);
       if (!found)
-        return ErrorAnswer(401, "no operator has this key");
+        return ErrorAnswer(401,
+                           "the Authorization header has no operator's key");
       name = *found;
     }
     try {
-      return mCarrier(DecodeAdminCall(aRequest, std::move(name)));
+      return mExecutor(DecodeAdminCall(aRequest, std::move(name)));
     } catch (invalid_input const& fault) {
       return ErrorAnswer(400, fault.what());
     }
   }
 
   operator_directory mOperators;
-  admin_carrier mCarrier;
+  admin_executor mExecutor;
 };
 
 }
 
 admin_server::admin_server(endpoint const& aListen,
                            operator_directory aOperators,
-                           admin_carrier aCarrier)
+                           admin_executor aExecutor)
   : mEndpoint(
       Pistache::Address(aListen.mAddress, Pistache::Port(aListen.mPort)))
 {
@@ -81,7 +82,7 @@
                    .maxRequestSize(kMaxRequestBytes)
                    .maxResponseSize(kMaxAnswerBytes));
   mEndpoint.setHandler(std::make_shared<admin_handler>(std::move(aOperators),
-                                                       std::move(aCarrier)));
+                                                       std::move(aExecutor)));
   mEndpoint.serveThreaded();
 }
 
--- a/Libraries/LibAdmin/AdminServer.h
+++ b/Libraries/LibAdmin/AdminServer.h
@@ -11,18 +11,18 @@
 
 namespace lycheeseam {
 
-/// Carries a call out and returns its answer; called on the admin thread,
-/// which may wait in it.
-using admin_carrier = std::function<admin_answer(admin_call)>;
+/// Executes a call and returns its answer; called on the admin thread, and may
+/// block it.
+using admin_executor = std::function<admin_answer(admin_call)>;
 
-/// Serves operators over HTTP on a thread of its own.
+/// Serves the admin API over HTTP on a thread of its own, the admin thread.
 class admin_server
 {
 public:
-  /// Listens and serves at once. Throws when the address is taken.
+  /// Starts listening and serving. Throws when the address is in use.
   admin_server(endpoint const& aListen,
                operator_directory aOperators,
-               admin_carrier aCarrier);
+               admin_executor aExecutor);
   admin_server(admin_server const&) = delete;
   admin_server& operator=(admin_server const&) = delete;
   ~admin_server();
--- a/Libraries/LibAdmin/DecodeAdminCall.cpp
+++ b/Libraries/LibAdmin/DecodeAdminCall.cpp
@@ -23,12 +23,12 @@
     case Method::Post:
       return admin_verb::Run;
     default:
-      throw invalid_input("the method is none of GET, PUT, DELETE and POST");
+      throw invalid_input("the HTTP method is not GET, PUT, DELETE or POST");
   }
 }
 
 std::optional<row_version>
-BaseOf(Request const& aRequest)
+ReadIfMatch(Request const& aRequest)
 {
   std::optional<Pistache::Http::Header::Raw> const raw =
     aRequest.headers().tryGetRaw("If-Match");
@@ -41,24 +41,25 @@
   std::from_chars_result const parsed =
     std::from_chars(text.data(), end, version);
   if (parsed.ec != std::errc{} || parsed.ptr != end)
-    throw invalid_input("If-Match holds a row's version, a whole number");
+    throw invalid_input("If-Match is not a row version (a whole number)");
   return row_version{ version };
 }
 
-// Takes "/v1/SUBJECT/NAME" or "/metrics" apart.
+// Parses "/v1/RESOURCE", "/v1/RESOURCE/NAME" or "/metrics".
 void
-ReadPath(std::string_view aPath, admin_call& aCall)
+ParsePath(std::string_view aPath, admin_call& aCall)
 {
   static constexpr std::string_view kPrefix = "/v1/";
   if (aPath == "/metrics") {
-    aCall.mSubject = "metrics";
+    aCall.mResource = "metrics";
     return;
   }
   if (!aPath.starts_with(kPrefix))
-    throw invalid_input("paths begin with /v1/, but for /metrics");
+    throw invalid_input(
+      "the path does not begin with /v1/ and is not /metrics");
   aPath.remove_prefix(kPrefix.size());
   std::size_t const slash = aPath.find('/');
-  aCall.mSubject = aPath.substr(0, slash);
+  aCall.mResource = aPath.substr(0, slash);
   if (slash != std::string_view::npos)
     aCall.mName = aPath.substr(slash + 1);
 }
@@ -70,9 +71,9 @@
 {
   admin_call call{ .mOperator = std::move(aOperator),
                    .mVerb = VerbOf(aRequest.method()),
-                   .mBase = BaseOf(aRequest),
+                   .mBase = ReadIfMatch(aRequest),
                    .mBody = aRequest.body() };
-  ReadPath(aRequest.resource(), call);
+  ParsePath(aRequest.resource(), call);
   if (aRequest.query().get("dry_run").value_or("false") == "true")
     call.mMode = apply_mode::DryRun;
   return call;
--- a/Libraries/LibAdmin/DecodeAdminCall.h
+++ b/Libraries/LibAdmin/DecodeAdminCall.h
@@ -8,7 +8,8 @@
 
 namespace lycheeseam {
 
-/// Reads an operator's call from its HTTP request; throws invalid_input.
+/// Decodes an operator's call from its HTTP request. Throws invalid_input for
+/// an unsupported method, path or If-Match.
 admin_call
 DecodeAdminCall(Pistache::Http::Request const& aRequest, std::string aOperator);
 
--- a/Libraries/LibAdmin/FormatOutcome.cpp
+++ b/Libraries/LibAdmin/FormatOutcome.cpp
@@ -39,8 +39,8 @@
 {
   if (!aOutcome) {
     return ErrorAnswer(503,
-                       "the log did not take the change in time; look at the "
-                       "rows before you try again");
+                       "the log did not accept the change in time; read the "
+                       "rows before retrying");
   }
   return admin_answer{ .mStatus = StatusOf(aOutcome->mStatus),
                        .mBody = ToJsonText(*aOutcome) };
--- a/Libraries/LibAdmin/FormatOutcome.h
+++ b/Libraries/LibAdmin/FormatOutcome.h
@@ -11,16 +11,16 @@
 
 namespace lycheeseam {
 
-/// An error's answer: {"error": TEXT}.
+/// Makes the answer to a failed call, with the body {"error": REASON}.
 admin_answer
 ErrorAnswer(std::uint16_t aStatus, std::string_view aReason);
 
-/// What became of a proposal: 200 in force, 409 conflict with both versions,
-/// 422 refused with the rules that it breaks, 503 unknown.
+/// Makes the answer for a proposal's outcome: 200 in force, 409 conflict, with
+/// both versions, 422 refused, with the rules that it violates, 503 unknown.
 admin_answer
 OutcomeAnswer(std::optional<proposal_outcome> const& aOutcome);
 
-/// Changes as a list, for a look before they are proposed.
+/// Formats changes as a JSON list, for a dry run.
 std::string
 FormatChanges(std::span<any_row_change const> aChanges);
 
--- a/Libraries/LibAdmin/OperatorDirectory.h
+++ b/Libraries/LibAdmin/OperatorDirectory.h
@@ -8,7 +8,7 @@
 
 namespace lycheeseam {
 
-/// Operators' names by the digests of their keys.
+/// Finds operators by the digests of their keys.
 class operator_directory
 {
 public:
@@ -18,7 +18,7 @@
     mNames.insert_or_assign(aKey, std::move(aName));
   }
 
-  /// The operator with that key, or nothing.
+  /// The name of the operator with that key, or nothing.
   [[nodiscard]] std::optional<std::string> Find(digest const& aKey) const
   {
     auto const found = mNames.find(aKey);
--- a/Libraries/LibAdmin/RowCalls.cpp
+++ b/Libraries/LibAdmin/RowCalls.cpp
@@ -11,57 +11,58 @@
 namespace {
 
 digest
-NameFrom(std::string const& aText, digest const*)
+ParseRowName(std::string const& aText, digest const*)
 {
   return digest::FromHex(aText);
 }
 
 template<typename Tag>
 identifier<Tag>
-NameFrom(std::string const& aText, identifier<Tag> const*)
+ParseRowName(std::string const& aText, identifier<Tag> const*)
 {
   return identifier<Tag>{ aText };
 }
 
-// Runs an action on the table that the call is about.
+// Applies an action to the table that the call names.
 template<typename Answer, typename Action>
 Answer
 WithTable(config_tables const& aTables,
           admin_call const& aCall,
           Action const& aAction)
 {
-  if (aCall.mSubject == "routes")
+  if (aCall.mResource == "routes")
     return aAction(aTables.mRoutes);
-  if (aCall.mSubject == "pools")
+  if (aCall.mResource == "pools")
     return aAction(aTables.mPools);
-  if (aCall.mSubject == "keys")
+  if (aCall.mResource == "keys")
     return aAction(aTables.mKeys);
-  if (aCall.mSubject == "workspaces")
+  if (aCall.mResource == "workspaces")
     return aAction(aTables.mWorkspaces);
-  throw invalid_input("there is no \"" + aCall.mSubject +
-                      "\"; there are routes, pools, keys, workspaces, apply, "
-                      "status and metrics");
+  throw invalid_input("unknown resource \"" + aCall.mResource +
+                      "\"; expected routes, pools, keys, workspaces, apply, "
+                      "status or metrics");
 }
 
 template<typename Name, typename Row>
 admin_answer
-ReadFrom(std::map<Name, versioned<Row>> const& aRows, admin_call const& aCall)
+ReadTable(std::map<Name, versioned<Row>> const& aRows, admin_call const& aCall)
 {
   if (aCall.mName.empty())
     return admin_answer{ .mBody = ToJsonText(aRows) };
-  Name const* const kind = nullptr;
-  auto const found = aRows.find(NameFrom(aCall.mName, kind));
+  Name const* const type = nullptr;
+  auto const found = aRows.find(ParseRowName(aCall.mName, type));
   if (found == aRows.end())
-    return ErrorAnswer(404, "there is no row of that name");
+    return ErrorAnswer(404, "no row has the name in the path");
   return admin_answer{ .mBody = ToJsonText(found->second) };
 }
 
 template<typename Name, typename Row>
 any_row_change
-ChangeOf(std::map<Name, versioned<Row>> const& aRows, admin_call const& aCall)
+DecodeRowChange(std::map<Name, versioned<Row>> const& aRows,
+                admin_call const& aCall)
 {
-  Name const* const kind = nullptr;
-  Name const name = NameFrom(aCall.mName, kind);
+  Name const* const type = nullptr;
+  Name const name = ParseRowName(aCall.mName, type);
   auto const found = aRows.find(name);
   row_version const current =
     found == aRows.end() ? row_version{} : found->second.mVersion;
@@ -71,7 +72,7 @@
     return change;
   change.mRow = FromJsonText<Row>(aCall.mBody);
   if (config_table<Row>::NameOf(*change.mRow) != name)
-    throw invalid_input("the row's name is not the one in the path");
+    throw invalid_input("the row's name differs from the name in the path");
   return change;
 }
 
@@ -81,7 +82,7 @@
 ReadRows(config_tables const& aTables, admin_call const& aCall)
 {
   return WithTable<admin_answer>(aTables, aCall, [&aCall](auto const& aRows) {
-    return ReadFrom(aRows, aCall);
+    return ReadTable(aRows, aCall);
   });
 }
 
@@ -89,9 +90,9 @@
 MakeRowChange(config_tables const& aTables, admin_call const& aCall)
 {
   if (aCall.mName.empty())
-    throw invalid_input("the path names no row");
+    throw invalid_input("the path has no row name");
   return WithTable<any_row_change>(aTables, aCall, [&aCall](auto const& aRows) {
-    return ChangeOf(aRows, aCall);
+    return DecodeRowChange(aRows, aCall);
   });
 }
 
