--- a/Utilities/lycheeseamctl/AdminClient.cpp
+++ b/Utilities/lycheeseamctl/AdminClient.cpp
@@ -12,7 +12,8 @@
 
 namespace {
 
-// Longer than an instance waits for the log to take a change.
+// Longer than an instance waits for the log to accept a change, so that the
+// answer arrives.
 constexpr long kTimeoutSeconds = 20;
 
 struct handle_deleter
--- a/Utilities/lycheeseamctl/AdminClient.h
+++ b/Utilities/lycheeseamctl/AdminClient.h
@@ -8,25 +8,26 @@
 
 namespace lycheeseam {
 
-/// An answer of the admin API.
+/// An HTTP response of the admin API.
 struct admin_reply
 {
   std::uint16_t mStatus = 0;
   std::string mBody;
 };
 
-/// How the admin API is called.
+/// The instance to call, and the headers of the call.
 struct admin_client_options
 {
   endpoint mServer;
-  /// The operator's key; it goes into one header and nowhere else.
+  /// The operator's key; sent in the Authorization header and written nowhere
+  /// else.
   std::string mKey;
-  /// The version for If-Match; empty for none.
+  /// The row version to send as If-Match; empty for none.
   std::string mIfMatch;
 };
 
-/// Makes a command's call; throws error when the instance can't be reached
-/// or the command's file can't be read.
+/// Calls the admin API for a command and returns the response. Throws error
+/// when the instance doesn't answer or the command's file can't be read.
 admin_reply
 CallAdmin(admin_client_options const& aOptions, command const& aCommand);
 
--- a/Utilities/lycheeseamctl/Command.cpp
+++ b/Utilities/lycheeseamctl/Command.cpp
@@ -16,45 +16,48 @@
                                                    "workspaces" };
 
 command
-ParseTableCommand(std::span<std::string const> aWords)
+ParseTableCommand(std::span<std::string const> aPositionals)
 {
-  std::string const path = "/v1/" + aWords[0];
-  std::string const verb = aWords.size() > 1 ? aWords[1] : "list";
-  if (verb == "list" && aWords.size() <= 2)
+  std::string const path = "/v1/" + aPositionals[0];
+  std::string const verb = aPositionals.size() > 1 ? aPositionals[1] : "list";
+  if (verb == "list" && aPositionals.size() <= 2)
     return command{ .mMethod = "GET", .mPath = path };
-  if (verb == "get" && aWords.size() == 3)
-    return command{ .mMethod = "GET", .mPath = path + "/" + aWords[2] };
-  if (verb == "delete" && aWords.size() == 3)
-    return command{ .mMethod = "DELETE", .mPath = path + "/" + aWords[2] };
-  if (verb == "put" && aWords.size() == 4) {
+  if (verb == "get" && aPositionals.size() == 3)
+    return command{ .mMethod = "GET", .mPath = path + "/" + aPositionals[2] };
+  if (verb == "delete" && aPositionals.size() == 3)
+    return command{ .mMethod = "DELETE",
+                    .mPath = path + "/" + aPositionals[2] };
+  if (verb == "put" && aPositionals.size() == 4) {
     return command{ .mMethod = "PUT",
-                    .mPath = path + "/" + aWords[2],
-                    .mBodyFile = aWords[3] };
+                    .mPath = path + "/" + aPositionals[2],
+                    .mBodyFile = aPositionals[3] };
   }
-  throw invalid_input("a table takes: list, get NAME, put NAME FILE, "
-                      "delete NAME");
+  throw invalid_input(
+    "a table command is one of: list, get NAME, put NAME FILE, "
+    "delete NAME");
 }
 
 }
 
 command
-ParseCommand(std::span<std::string const> aWords, bool aIsDryRun)
+ParseCommand(std::span<std::string const> aPositionals, bool aIsDryRun)
 {
-  if (aWords.empty())
-    throw invalid_input("a command is needed");
-  std::string const& subject = aWords[0];
+  if (aPositionals.empty())
+    throw invalid_input("the command is missing");
+  std::string const& subject = aPositionals[0];
   if (std::ranges::find(kTables, subject) != kTables.end())
-    return ParseTableCommand(aWords);
-  if (subject == "apply" && aWords.size() == 2) {
+    return ParseTableCommand(aPositionals);
+  if (subject == "apply" && aPositionals.size() == 2) {
     return command{ .mMethod = "POST",
                     .mPath = aIsDryRun ? "/v1/apply?dry_run=true" : "/v1/apply",
-                    .mBodyFile = aWords[1] };
+                    .mBodyFile = aPositionals[1] };
   }
-  if (subject == "status" && aWords.size() == 1)
+  if (subject == "status" && aPositionals.size() == 1)
     return command{ .mMethod = "GET", .mPath = "/v1/status" };
-  if (subject == "metrics" && aWords.size() == 1)
+  if (subject == "metrics" && aPositionals.size() == 1)
     return command{ .mMethod = "GET", .mPath = "/metrics" };
-  throw invalid_input("there is no command \"" + subject + "\" of that form");
+  throw invalid_input("the command \"" + subject +
+                      "\" is unknown or has a wrong number of arguments");
 }
 
 }
--- a/Utilities/lycheeseamctl/Command.h
+++ b/Utilities/lycheeseamctl/Command.h
@@ -5,18 +5,18 @@
 
 namespace lycheeseam {
 
-/// An operator's command as the call of the admin API that it makes.
+/// The call of the admin API that a command line stands for.
 struct command
 {
   std::string mMethod;
   std::string mPath;
-  /// The file whose text is the call's body; empty for none.
+  /// The path of the file with the call's body; empty for none.
   std::string mBodyFile;
 };
 
-/// Reads the command line's words behind the flags; throws invalid_input
-/// when they make no command.
+/// Parses the positional arguments of the command line. Throws invalid_input
+/// when the command is unknown or has wrong arguments.
 command
-ParseCommand(std::span<std::string const> aWords, bool aIsDryRun);
+ParseCommand(std::span<std::string const> aPositionals, bool aIsDryRun);
 
 }
--- a/Utilities/lycheeseamctl/ExitCode.h
+++ b/Utilities/lycheeseamctl/ExitCode.h
@@ -4,25 +4,25 @@
 
 namespace lycheeseam {
 
-/// What lycheeseamctl's exit status says.
+/// The exit status of lycheeseamctl.
 enum class exit_code
 {
   Success = 0,
-  /// The instance can't be reached, or a file can't be read.
+  /// The instance doesn't answer, or a file can't be read.
   Failure = 1,
   /// The command line is wrong.
   Usage = 2,
-  /// The call is malformed, or what it names isn't there.
+  /// The call is malformed or unauthorized, or names a missing row.
   BadCall = 3,
-  /// A row was changed meanwhile; both versions are shown.
+  /// A row was changed concurrently; both versions are printed.
   Conflict = 4,
-  /// The change breaks a rule, which is shown.
+  /// The change violates rules, which are printed.
   Refused = 5,
-  /// The log did not take the change in time: it may come into force.
+  /// The log did not accept the change in time; it may still come into force.
   Unknown = 6,
 };
 
-/// The exit status that goes with an answer's HTTP status.
+/// The exit status for an HTTP status of the admin API.
 exit_code
 ExitCodeOf(std::uint16_t aStatus);
 
--- a/Utilities/lycheeseamctl/FormatReply.cpp
+++ b/Utilities/lycheeseamctl/FormatReply.cpp
@@ -8,7 +8,7 @@
 
 using nlohmann::json;
 
-// A row's first column: what it is known by.
+// Returns the row's name or digest, which is its first column.
 std::string
 NameOf(json const& aRow)
 {
--- a/Utilities/lycheeseamctl/FormatReply.h
+++ b/Utilities/lycheeseamctl/FormatReply.h
@@ -5,8 +5,9 @@
 
 namespace lycheeseam {
 
-/// An answer's JSON for people: a list of rows as a line each with its
-/// version, anything else with a field a line. Text that is no JSON is left.
+/// Formats a JSON response for reading: a list of rows with one line per row
+/// and its version, other JSON indented. Text that isn't JSON is returned as it
+/// is.
 std::string
 FormatReply(std::string_view aBody);
 
--- a/Utilities/lycheeseamctl/Main.cpp
+++ b/Utilities/lycheeseamctl/Main.cpp
@@ -25,17 +25,18 @@
   "lycheeseamctl [flags] COMMAND\n"
   "  routes|pools|keys|workspaces  list | get NAME | put NAME FILE | delete "
   "NAME\n"
-  "  apply FILE [--dry_run]        make the tables equal to a file's\n"
-  "  status                        this instance and those that it knows\n"
+  "  apply FILE [--dry_run]        make the tables equal to those of a file\n"
+  "  status                        state of this instance and its known peers\n"
   "  metrics                       counters in Prometheus's text format\n"
   "The operator's key is read from LYCHEESEAM_OPERATOR_KEY.\n"
-  "Exit status: 0 done, 1 not reached, 2 usage, 3 bad call, 4 conflict,\n"
-  "5 refused, 6 not known whether the change comes into force.";
+  "Exit status: 0 done, 1 no answer, or a file can't be read, 2 usage,\n"
+  "3 bad call, 4 conflict, 5 refused, 6 unknown whether the change comes into\n"
+  "force.";
 
 exit_code
-Run(std::vector<std::string> const& aWords)
+Run(std::vector<std::string> const& aPositionals)
 {
-  command const parsed = ParseCommand(aWords, FLAGS_dry_run);
+  command const parsed = ParseCommand(aPositionals, FLAGS_dry_run);
   char const* const key = std::getenv(kKeyVariable);
   admin_client_options const options{ .mServer = endpoint::Parse(FLAGS_server),
                                       .mKey = key ? key : "",
@@ -51,10 +52,10 @@
 }
 
 exit_code
-Start(std::vector<std::string> const& aWords)
+Start(std::vector<std::string> const& aPositionals)
 {
   try {
-    return Run(aWords);
+    return Run(aPositionals);
   } catch (invalid_input const& fault) {
     std::cerr << "lycheeseamctl: " << fault.what() << "\n" << kUsage << "\n";
     return exit_code::Usage;
@@ -74,6 +75,7 @@
   gflags::SetUsageMessage(lycheeseam::kUsage);
   gflags::SetVersionString(LYCHEESEAM_VERSION);
   gflags::ParseCommandLineFlags(&aCount, &aArguments, true);
-  std::vector<std::string> const words{ aArguments + 1, aArguments + aCount };
-  return static_cast<int>(lycheeseam::Start(words));
+  std::vector<std::string> const positionals{ aArguments + 1,
+                                              aArguments + aCount };
+  return static_cast<int>(lycheeseam::Start(positionals));
 }
