--- a/Tests/LibPlatform/ConfigSchedule.cpp
+++ b/Tests/LibPlatform/ConfigSchedule.cpp
@@ -31,7 +31,7 @@
   , mInstances(kInstances)
   , mSeen(kInstances)
 {
-  mLog.OnLanded([this](log_entry const& aEntry) { mReference.Add(aEntry); });
+  mLog.OnAppended([this](log_entry const& aEntry) { mReference.Add(aEntry); });
   for (std::size_t i = 0; i < kInstances; ++i)
     Start(i);
 }
--- a/Tests/Support/ConfigInstance.h
+++ b/Tests/Support/ConfigInstance.h
@@ -14,12 +14,13 @@
 
 namespace lycheeseam {
 
-/// An instance's configuration machinery in virtual time.
+/// Runs an instance's follower, appender and checkpoint writer of the
+/// configuration log in virtual time, against a fake_log.
 class config_instance
 {
 public:
   using state = fold_set<config_fold>;
-  /// Hears when the state has changed.
+  /// Called when the state has changed.
   using listener = std::function<void(state const&)>;
 
   config_instance(event_queue& aQueue,
@@ -38,13 +39,13 @@
     Tick();
   }
 
-  /// Sends a proposal; the callback hears its definite end.
+  /// Sends a proposal; the callback receives its final outcome.
   void Propose(config_proposal const& aProposal, outcome_callback aDone)
   {
     mAppender.Submit(aProposal, mQueue.Now(), std::move(aDone));
   }
 
-  /// Starts from a peer's snapshot.
+  /// Replaces the state by a peer's snapshot.
   void LoadSnapshot(state const& aPeer)
   {
     mState.Load(aPeer.Offset(), aPeer.Save());
@@ -52,7 +53,7 @@
     mFollower.OnStateLoaded();
   }
 
-  /// Does nothing until an instant, as a process that is paused.
+  /// Skips all steps until an instant, as a paused process does.
   void Freeze(instant aUntil) { mFrozenUntil = aUntil; }
 
   [[nodiscard]] state const& State() const { return mState; }
--- a/Tests/Support/ConfigReference.h
+++ b/Tests/Support/ConfigReference.h
@@ -8,7 +8,8 @@
 
 namespace lycheeseam {
 
-/// The truth: the fold over everything that ever landed, at every offset.
+/// The expected tables and outcomes: the fold over all records that were ever
+/// appended to the log, with the tables at every offset.
 class config_reference
 {
 public:
@@ -21,13 +22,13 @@
       mOutcomes.emplace(proposal, *outcome);
   }
 
-  /// The tables as of an offset from 1 on.
+  /// The tables after the entry at an offset, which is at least 1.
   [[nodiscard]] config_tables const& At(log_offset aOffset) const
   {
     return mTables.at(aOffset.Value() - 1);
   }
 
-  /// What became of each proposal that landed.
+  /// The outcome of each proposal that was appended.
   [[nodiscard]] std::map<proposal_id, proposal_outcome> const& Outcomes() const
   {
     return mOutcomes;
--- a/Tests/Support/EventQueue.h
+++ b/Tests/Support/EventQueue.h
@@ -8,8 +8,8 @@
 
 namespace lycheeseam {
 
-/// Runs events in virtual time; those due together in the order they were
-/// added. It also serves as the clock of what it runs.
+/// Runs events in virtual time; events due at the same instant run in the order
+/// in which they were added. It is also the clock of the code under test.
 class event_queue
 {
 public:
@@ -22,7 +22,7 @@
     mEvents.emplace(Now() + aDelay, std::move(aEvent));
   }
 
-  /// Runs all events up to an instant and stops there.
+  /// Runs all events due up to an instant, and sets the time to that instant.
   void RunUntil(instant aEnd)
   {
     while (!mEvents.empty() && mEvents.begin()->first <= aEnd) {
--- a/Tests/Support/FakeLog.h
+++ b/Tests/Support/FakeLog.h
@@ -14,8 +14,8 @@
 
 namespace lycheeseam {
 
-/// The platform's log in virtual time, with a full history beside what it
-/// still gives out.
+/// The platform's log in virtual time, with latency, retention, outages and
+/// lost or late appends. It also keeps the complete history for checks.
 class fake_log
 {
 public:
@@ -28,67 +28,67 @@
 
   void Append(log_record const& aRecord, append_callback const& aDone)
   {
-    mQueue.After(Travel(),
-                 [this, aRecord, aDone]() { Arrive(aRecord, aDone); });
+    mQueue.After(OneWayDelay(),
+                 [this, aRecord, aDone]() { HandleAppend(aRecord, aDone); });
   }
 
   void Read(read_request const& aRequest, read_callback const& aDone)
   {
-    mQueue.After(Travel(),
-                 [this, aRequest, aDone]() { Hold(aRequest, aDone); });
+    mQueue.After(OneWayDelay(),
+                 [this, aRequest, aDone]() { HandleRead(aRequest, aDone); });
   }
 
   void Offsets(range_callback const& aDone)
   {
-    mQueue.After(Travel(), [this, aDone]() {
+    mQueue.After(OneWayDelay(), [this, aDone]() {
       std::optional<log_range> range;
-      if (!mIsOut)
+      if (!mHasOutage)
         range = Range();
-      mQueue.After(Travel(), [aDone, range]() { aDone(range); });
+      mQueue.After(OneWayDelay(), [aDone, range]() { aDone(range); });
     });
   }
 
   /// Begins or ends an outage.
-  void SetOutage(bool aIsOut)
+  void SetOutage(bool aHasOutage)
   {
-    mIsOut = aIsOut;
-    if (aIsOut)
-      AnswerReads([](read_request const&) { return true; });
+    mHasOutage = aHasOutage;
+    if (aHasOutage)
+      AnswerPendingReads([](read_request const&) { return true; });
   }
 
-  /// Changes how it behaves.
+  /// The options, which may be changed at any time.
   fake_log_options& Options() noexcept { return mOptions; }
 
-  /// Every record ever, whatever the retention.
+  /// All records ever appended, regardless of the retention.
   [[nodiscard]] std::vector<log_entry> const& History() const noexcept
   {
     return mHistory;
   }
 
-  /// Hears of each record when it lands.
-  void OnLanded(std::function<void(log_entry const&)> aListener)
+  /// Sets the listener that is called for each appended record.
+  void OnAppended(std::function<void(log_entry const&)> aListener)
   {
     mListener = std::move(aListener);
   }
 
-  /// What it gives out.
+  /// The range of offsets within the retention.
   [[nodiscard]] log_range Range() const
   {
     instant const oldest = mQueue.Now() - mOptions.mRetention;
-    auto const kept = std::ranges::lower_bound(mLandedAt, oldest);
+    auto const kept = std::ranges::lower_bound(mAppendedAt, oldest);
     std::size_t const dropped =
-      static_cast<std::size_t>(kept - mLandedAt.begin());
+      static_cast<std::size_t>(kept - mAppendedAt.begin());
     return { log_offset{ dropped + 1 }, log_offset{ mHistory.size() } };
   }
 
 private:
-  struct held_read
+  struct pending_read
   {
     read_request mRequest;
     read_callback mDone;
   };
 
-  duration Travel()
+  duration OneWayDelay()
   {
     std::uniform_int_distribution<std::int64_t> jitter{
       0, mOptions.mJitter.count()
@@ -102,90 +102,91 @@
     return std::uniform_int_distribution<int>{ 0, 99 }(mRandom) < aPercent;
   }
 
-  void Arrive(log_record const& aRecord, append_callback const& aDone)
+  void HandleAppend(log_record const& aRecord, append_callback const& aDone)
   {
-    if (mIsOut || Chance(mOptions.mLatePercent)) {
-      // In an outage some records are kept somewhere and land after it.
-      if (!mIsOut || Chance(mOptions.mLatePercent))
-        LandLater(aRecord);
+    if (mHasOutage || Chance(mOptions.mLatePercent)) {
+      // In an outage, some records are buffered on the way and are appended
+      // later.
+      if (!mHasOutage || Chance(mOptions.mLatePercent))
+        AppendLater(aRecord);
       Answer(aDone, { .mStatus = append_status::Unknown });
       return;
     }
-    log_offset const offset = Land(aRecord);
+    log_offset const offset = AppendNow(aRecord);
     if (Chance(mOptions.mLostPercent))
       Answer(aDone, { .mStatus = append_status::Unknown });
     else
       Answer(aDone, { append_status::Accepted, offset });
   }
 
-  void LandLater(log_record const& aRecord)
+  void AppendLater(log_record const& aRecord)
   {
     std::uniform_int_distribution<std::int64_t> delay{
       0, mOptions.mLateBy.count()
     };
     mQueue.After(std::chrono::milliseconds{ delay(mRandom) },
-                 [this, aRecord]() { Land(aRecord); });
+                 [this, aRecord]() { AppendNow(aRecord); });
   }
 
   void Answer(append_callback const& aDone, append_result aResult)
   {
-    mQueue.After(Travel(), [aDone, aResult]() { aDone(aResult); });
+    mQueue.After(OneWayDelay(), [aDone, aResult]() { aDone(aResult); });
   }
 
-  log_offset Land(log_record const& aRecord)
+  log_offset AppendNow(log_record const& aRecord)
   {
     log_offset const offset{ mHistory.size() + 1 };
     mHistory.push_back({ offset, aRecord });
-    mLandedAt.push_back(mQueue.Now());
+    mAppendedAt.push_back(mQueue.Now());
     if (mListener)
       mListener(mHistory.back());
-    AnswerReads([offset](read_request const& aRequest) {
+    AnswerPendingReads([offset](read_request const& aRequest) {
       return aRequest.mFrom <= offset;
     });
     return offset;
   }
 
-  void Hold(read_request const& aRequest, read_callback const& aDone)
+  void HandleRead(read_request const& aRequest, read_callback const& aDone)
   {
-    if (mIsOut || aRequest.mFrom <= Range().mTail ||
+    if (mHasOutage || aRequest.mFrom <= Range().mTail ||
         aRequest.mMaxWait.count() == 0) {
       AnswerRead(aRequest, aDone);
       return;
     }
-    std::uint64_t const number = ++mLastHeld;
-    mHeld.emplace(number, held_read{ aRequest, aDone });
-    mQueue.After(aRequest.mMaxWait, [this, number]() { Expire(number); });
+    std::uint64_t const number = ++mLastReadNumber;
+    mPendingReads.emplace(number, pending_read{ aRequest, aDone });
+    mQueue.After(aRequest.mMaxWait, [this, number]() { ExpireRead(number); });
   }
 
-  void Expire(std::uint64_t aNumber)
+  void ExpireRead(std::uint64_t aNumber)
   {
-    auto const held = mHeld.extract(aNumber);
-    if (!held.empty())
-      AnswerRead(held.mapped().mRequest, held.mapped().mDone);
+    auto const pending = mPendingReads.extract(aNumber);
+    if (!pending.empty())
+      AnswerRead(pending.mapped().mRequest, pending.mapped().mDone);
   }
 
   template<typename Predicate>
-  void AnswerReads(Predicate aIsDue)
+  void AnswerPendingReads(Predicate aIsDue)
   {
-    auto const answer = [&](auto const& aHeld) {
-      held_read const& read = aHeld.second;
+    auto const answer = [&](auto const& aPending) {
+      pending_read const& read = aPending.second;
       if (!aIsDue(read.mRequest))
         return false;
       AnswerRead(read.mRequest, read.mDone);
       return true;
     };
-    std::erase_if(mHeld, answer);
+    std::erase_if(mPendingReads, answer);
   }
 
   void AnswerRead(read_request const& aRequest, read_callback const& aDone)
   {
     read_result const result = ResultOf(aRequest);
-    mQueue.After(Travel(), [aDone, result]() { aDone(result); });
+    mQueue.After(OneWayDelay(), [aDone, result]() { aDone(result); });
   }
 
   [[nodiscard]] read_result ResultOf(read_request const& aRequest) const
   {
-    if (mIsOut)
+    if (mHasOutage)
       return {};
     log_range const range = Range();
     if (aRequest.mFrom < range.mEarliest)
@@ -201,12 +202,12 @@
   event_queue& mQueue;
   fake_log_options mOptions;
   std::mt19937_64 mRandom;
-  bool mIsOut = false;
+  bool mHasOutage = false;
   std::vector<log_entry> mHistory;
-  std::vector<instant> mLandedAt;
+  std::vector<instant> mAppendedAt;
   std::function<void(log_entry const&)> mListener;
-  std::map<std::uint64_t, held_read> mHeld;
-  std::uint64_t mLastHeld = 0;
+  std::map<std::uint64_t, pending_read> mPendingReads;
+  std::uint64_t mLastReadNumber = 0;
 };
 
 static_assert(log_service<fake_log>);
--- a/Tests/Support/InstancePort.h
+++ b/Tests/Support/InstancePort.h
@@ -7,8 +7,8 @@
 
 namespace lycheeseam {
 
-/// One instance's way to the log: drops answers once the instance is gone,
-/// as a process that was killed does.
+/// An instance's connection to the fake_log. Drops answers after the instance
+/// was destroyed, as when a process is killed.
 class instance_port
 {
 public:
@@ -17,7 +17,7 @@
   {
   }
 
-  /// Wraps any callback so that it ends with the instance.
+  /// Wraps a callback so that it does nothing once this port is destroyed.
   template<typename Callback>
   auto Guard(Callback aDone)
   {
