--- a/Tests/Platform/TestRequestDialect.cpp
+++ b/Tests/Platform/TestRequestDialect.cpp
@@ -16,7 +16,7 @@
            .mFields = std::move(aFields) };
 }
 
-TEST(TestRequestDialect, FactsAreRead)
+TEST(TestRequestDialect, PropertiesAreRead)
 {
   request_properties const properties = request_dialect::ReadProperties(
     Head({ { "host", "h" },
@@ -39,7 +39,7 @@
   EXPECT_EQ(properties.SharedTokens(), 1210);
 }
 
-TEST(TestRequestDialect, UnreadableNumbersAreRefused)
+TEST(TestRequestDialect, MalformedNumbersAreRefused)
 {
   for (header_field const& field :
        std::vector<header_field>{ { "Deadline-Ms", "soon" },
@@ -51,7 +51,7 @@
                  invalid_input);
 }
 
-TEST(TestRequestDialect, AnyHeadersAreReadOrRefused)
+TEST(TestRequestDialect, ArbitraryFieldValuesAreReadOrRefused)
 {
   std::vector<std::string> const names{
     "Deadline-Ms", "Token-Counts", "Prompt-Prefix", "Last-Event-Id"
@@ -66,13 +66,14 @@
   });
 }
 
-TEST(TestRequestDialect, TheRoutersOwnWordsReplaceTheCallers)
+TEST(TestRequestDialect, RouterFieldsReplaceThoseOfTheCaller)
 {
-  send_parameters const terms{ .mServer = backend_server_id{ "s" },
-                               .mTimeLeft = std::chrono::milliseconds{ 90 },
-                               .mWorkspace = workspace_id{ "w" },
-                               .mVersion = 3,
-                               .mCacheScope = "v3" };
+  send_parameters const parameters{ .mServer = backend_server_id{ "s" },
+                                    .mTimeLeft =
+                                      std::chrono::milliseconds{ 90 },
+                                    .mWorkspace = workspace_id{ "w" },
+                                    .mVersion = 3,
+                                    .mCacheScope = "v3" };
   request_head const head =
     request_dialect::ForwardedRequest(Head({ { "X-Own", "1" },
                                              { "X-Own", "2" },
@@ -83,7 +84,7 @@
                                              { "Deadline-Ms", "600" },
                                              { "Connection", "X-Hop" },
                                              { "X-Hop", "1" } }),
-                                      terms);
+                                      parameters);
   std::string text;
   for (header_field const& field : head.mFields)
     text += field.mName + "=" + field.mValue + ";";
@@ -109,7 +110,7 @@
   EXPECT_TRUE(request_dialect::ReadAnswer({ .mStatus = 421 }).mIsMisdirected);
 }
 
-TEST(TestRequestDialect, AnyLoadIsReadOrIgnored)
+TEST(TestRequestDialect, ArbitraryLoadsAreReadOrIgnored)
 {
   rc::check([](std::string const& aValue) {
     request_dialect::ReadAnswer(
--- a/Tests/Platform/TestStoreDialect.cpp
+++ b/Tests/Platform/TestStoreDialect.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr std::string_view kConfig = R"({
+constexpr std::string_view kConfigText = R"({
   "version": 7,
   "routes": [
     {"name": "r1", "host": "h", "path_prefix": "/a/", "kind": "stream",
@@ -28,14 +28,16 @@
                "unit": "tokens", "plain_tokens": 200, "isolated": true,
                "rate_per_s": 126, "burst": 127}]})";
 
-constexpr std::string_view kEntry = R"({
+constexpr std::string_view kServerEntry = R"({
   "service": "p", "addr": "10.0.0.9:8080", "zone": "z", "version": "v1",
   "slots": 64, "state": "ready", "cold_left_ms": 0, "stage": "unified",
   "models": [{"name": "m", "version": 3, "adapters": []}], "seq": 4,
   "born": 1777431616036})";
 
 std::string
-Changed(std::string_view aText, std::string_view aFrom, std::string_view aTo)
+WithReplacement(std::string_view aText,
+                std::string_view aFrom,
+                std::string_view aTo)
 {
   std::string text{ aText };
   text.replace(text.find(aFrom), aFrom.size(), aTo);
@@ -51,7 +53,7 @@
 
 TEST(TestStoreDialect, ConfigurationsAreRead)
 {
-  std::shared_ptr<dispatch_config const> const config = ReadConfig(kConfig);
+  std::shared_ptr<dispatch_config const> const config = ReadConfig(kConfigText);
   EXPECT_EQ(config->Version(), 7U);
   dispatch_route const* const route = config->FindRoute("h", "/a/x");
   ASSERT_NE(route, nullptr);
@@ -60,7 +62,7 @@
   EXPECT_EQ(route->mShares.size(), 2U);
   EXPECT_EQ(config->FindRoute("h", "/b/")->mTimeout,
             std::chrono::milliseconds{ 600 });
-  // What isn't known to be repeatable runs once.
+  // A route of an unknown kind counts as non-idempotent.
   EXPECT_EQ(config->FindRoute("h", "/b/")->mKind, request_kind::NonIdempotent);
   EXPECT_EQ(config->FindPool(pool_name{ "p" })->mEngine->mMemoryTokens, 104044);
   EXPECT_EQ(config->CacheStore()->mCacheStore->Text(), "172.20.0.2:8604");
@@ -71,53 +73,54 @@
   EXPECT_EQ(workspace->mUnit, quota_unit::Tokens);
 }
 
-TEST(TestStoreDialect, FaultyConfigurationsAreRefused)
+TEST(TestStoreDialect, MalformedConfigurationsAreRefused)
 {
   for (std::string const& text :
-       { Changed(kConfig, "\"version\": 7", "\"version\": \"7\""),
-         Changed(kConfig, "\"host\": \"h\"", "\"host\": 5"),
-         Changed(kConfig, "172.20.0.2:8604", "nowhere"),
+       { WithReplacement(kConfigText, "\"version\": 7", "\"version\": \"7\""),
+         WithReplacement(kConfigText, "\"host\": \"h\"", "\"host\": 5"),
+         WithReplacement(kConfigText, "172.20.0.2:8604", "nowhere"),
          std::string{ "[]" },
          std::string{} })
     EXPECT_THROW(store_dialect::ReadOperatorRecord("config", text),
                  invalid_input);
 }
 
-TEST(TestStoreDialect, NamedWeightsAreRead)
+TEST(TestStoreDialect, TargetWeightsAreRead)
 {
-  loaded_model const named =
+  loaded_model const target =
     std::get<loaded_model>(store_dialect::ReadOperatorRecord(
       "version/m", R"({"model": "m", "version": 2})"));
-  EXPECT_EQ(named.mVersion, 2U);
+  EXPECT_EQ(target.mVersion, 2U);
   EXPECT_TRUE(std::holds_alternative<std::monostate>(
     store_dialect::ReadOperatorRecord("else", "{}")));
 }
 
-TEST(TestStoreDialect, EntriesAreRead)
+TEST(TestStoreDialect, ServerEntriesAreRead)
 {
-  registered_server const server = store_dialect::ReadServer("i-1", kEntry);
+  registered_server const server =
+    store_dialect::ReadServer("i-1", kServerEntry);
   EXPECT_EQ(server.mIncarnation, incarnation{ 1777431616036 });
   EXPECT_EQ(server.mAddress.Text(), "10.0.0.9:8080");
   EXPECT_EQ(server.VersionOf(model_name{ "m" }), 3U);
-  EXPECT_EQ(
-    store_dialect::ReadServer("i-1", Changed(kEntry, "ready", "draining"))
-      .mStage,
-    server_stage::Leaving);
+  EXPECT_EQ(store_dialect::ReadServer(
+              "i-1", WithReplacement(kServerEntry, "ready", "draining"))
+              .mStage,
+            server_stage::Leaving);
 }
 
-TEST(TestStoreDialect, EntriesOfOtherWritersAreRefused)
+TEST(TestStoreDialect, MalformedServerEntriesAreRefused)
 {
   for (std::string const& text :
-       { Changed(kEntry, "ready", "sleeping"),
-         Changed(kEntry, "\"slots\": 64", "\"slots\": \"64\""),
-         Changed(kEntry, "\"service\": \"p\",", ""),
-         Changed(kEntry, "10.0.0.9:8080", "10.0.0.9"),
-         Changed(kEntry, "\"version\": 3", "\"version\": -3"),
+       { WithReplacement(kServerEntry, "ready", "sleeping"),
+         WithReplacement(kServerEntry, "\"slots\": 64", "\"slots\": \"64\""),
+         WithReplacement(kServerEntry, "\"service\": \"p\",", ""),
+         WithReplacement(kServerEntry, "10.0.0.9:8080", "10.0.0.9"),
+         WithReplacement(kServerEntry, "\"version\": 3", "\"version\": -3"),
          std::string{ "\x01\x02" } })
     EXPECT_THROW(store_dialect::ReadServer("i-1", text), invalid_input);
 }
 
-TEST(TestStoreDialect, AnyBytesAreReadOrRefused)
+TEST(TestStoreDialect, ArbitraryBytesAreReadOrRefused)
 {
   rc::check([](std::string const& aBytes) {
     auto const read = [&aBytes](auto aReader) {
@@ -138,11 +141,12 @@
   });
 }
 
-// Changes single characters of good documents, to reach the inner checks.
-TEST(TestStoreDialect, ChangedDocumentsAreReadOrRefused)
+// Changes one character of a valid document: arbitrary bytes hardly ever get
+// past the JSON parser to the checks of single fields.
+TEST(TestStoreDialect, DocumentsWithOneChangedCharacterAreReadOrRefused)
 {
   rc::check([]() {
-    std::string text{ *rc::gen::element(kConfig, kEntry) };
+    std::string text{ *rc::gen::element(kConfigText, kServerEntry) };
     std::size_t const at = *rc::gen::inRange<std::size_t>(0, text.size());
     text[at] = *rc::gen::arbitrary<char>();
     try {
@@ -156,7 +160,7 @@
   });
 }
 
-TEST(TestStoreDialect, RecordsComeBackAsTheyWereFormatted)
+TEST(TestStoreDialect, FormattedRecordsAreReadBackUnchanged)
 {
   std::string bytes(16, '\0');
   bytes[7] = 5;
@@ -172,7 +176,7 @@
                invalid_input);
 }
 
-TEST(TestStoreDialect, AppendsSayWhetherTheyStand)
+TEST(TestStoreDialect, AppendResultsFollowStatusAndVerdict)
 {
   http_exchange_result result;
   EXPECT_EQ(store_dialect::ReadAppend(result).mStatus,
@@ -188,7 +192,7 @@
   EXPECT_EQ(store_dialect::ReadAppend(result).mOffset, 840U);
 }
 
-TEST(TestStoreDialect, UsageComesBackAsItWasWritten)
+TEST(TestStoreDialect, FormattedUsageIsReadBackUnchanged)
 {
   quota_usage const usage = store_dialect::ReadUsage(
     store_dialect::FormatUsage({ .mWrittenAt = std::chrono::milliseconds{ 7 },
@@ -199,7 +203,7 @@
   EXPECT_THROW(store_dialect::ReadUsage("{}"), invalid_input);
 }
 
-TEST(TestStoreDialect, OrdersBearTheirFenceAndCount)
+TEST(TestStoreDialect, OrdersCarryFenceAndExpectedOrders)
 {
   weights_order const order{ .mServer = backend_server_id{ "i-1" },
                              .mModel = model_name{ "m" },
