--- a/Services/lycheeseamd/ExitCode.h
+++ b/Services/lycheeseamd/ExitCode.h
@@ -2,16 +2,16 @@
 
 namespace lycheeseam {
 
-/// What lycheeseamd's exit status says.
+/// The exit status of lycheeseamd.
 enum class exit_code
 {
-  /// A planned stop, or a settings file without faults.
+  /// A planned stop, or a valid settings file with --check_config.
   Success = 0,
-  /// Something failed while running, such as a port that is taken.
+  /// A failure at run time, such as a port that is in use.
   Failure = 1,
   /// The command line is wrong.
   Usage = 2,
-  /// The settings file has faults, or can't be read.
+  /// The settings file is invalid or can't be read.
   Settings = 3,
 };
 
--- a/Services/lycheeseamd/FleetInstance.h
+++ b/Services/lycheeseamd/FleetInstance.h
@@ -16,62 +16,68 @@
 
 namespace lycheeseam {
 
-/// The two threads of an instance and what runs on them.
+/// One instance: a thread for control state, a thread for traffic, and the
+/// objects that run on them. Its owner uses it from a third thread.
 class fleet_instance
 {
 public:
   explicit fleet_instance(fleet_settings const& aSettings)
-    : mState(mControl.Context(),
-             MakeFleetOptions(aSettings),
-             mView,
-             [this](peer_update aNews) { OnPeerUpdate(std::move(aNews)); })
-    , mFront(mTraffic.Context(),
-             MakeGatewayOptions(aSettings),
-             mView,
-             [this](traffic_report aReport) { OnReport(std::move(aReport)); })
-    , mStop(mTraffic.Context(), mFront, aSettings.mStopTime)
+    : mFleetControl(
+        mControlThread.Context(),
+        MakeFleetOptions(aSettings),
+        mView,
+        [this](peer_update aUpdate) { OnPeerUpdate(std::move(aUpdate)); })
+    , mGateway(mTrafficThread.Context(),
+               MakeGatewayOptions(aSettings),
+               mView,
+               [this](traffic_report aReport) { OnReport(std::move(aReport)); })
+    , mPlannedStop(mTrafficThread.Context(), mGateway, aSettings.mStopTime)
   {
-    boost::asio::post(mControl.Context(), [this]() { mState.Start(); });
-    boost::asio::post(mTraffic.Context(), [this]() { mFront.Start(); });
+    boost::asio::post(mControlThread.Context(),
+                      [this]() { mFleetControl.Start(); });
+    boost::asio::post(mTrafficThread.Context(), [this]() { mGateway.Start(); });
   }
 
-  /// Stops as planned; returns when nothing runs any more.
+  /// Leaves the fleet and drains the gateway; returns when both threads have
+  /// ended.
   void Stop()
   {
-    boost::asio::post(mControl.Context(), [this]() { mState.Leave(); });
-    std::promise<std::future<void>> begun;
-    boost::asio::post(mTraffic.Context(),
-                      [this, &begun]() { begun.set_value(mStop.Begin()); });
-    begun.get_future().get().wait();
-    mTraffic.Stop();
-    mControl.Stop();
+    boost::asio::post(mControlThread.Context(),
+                      [this]() { mFleetControl.Leave(); });
+    std::promise<std::future<void>> drained;
+    boost::asio::post(mTrafficThread.Context(), [this, &drained]() {
+      drained.set_value(mPlannedStop.Begin());
+    });
+    drained.get_future().get().wait();
+    mTrafficThread.Stop();
+    mControlThread.Stop();
   }
 
 private:
   using fleet_gateway = gateway<platform::request_dialect>;
   using store_control = fleet_control<platform::store_dialect>;
 
-  void OnPeerUpdate(peer_update aNews)
+  void OnPeerUpdate(peer_update aUpdate)
   {
-    boost::asio::post(mTraffic.Context(), [this, news = std::move(aNews)]() {
-      mFront.OnPeerUpdate(news);
-    });
+    boost::asio::post(
+      mTrafficThread.Context(),
+      [this, update = std::move(aUpdate)]() { mGateway.OnPeerUpdate(update); });
   }
 
   void OnReport(traffic_report aReport)
   {
-    boost::asio::post(mControl.Context(),
+    boost::asio::post(mControlThread.Context(),
                       [this, report = std::move(aReport)]() mutable {
-                        mState.OnReport(std::move(report));
+                        mFleetControl.OnReport(std::move(report));
                       });
   }
 
   published<fleet_view> mView{ std::make_shared<fleet_view const>() };
-  control_thread mControl;
-  control_thread mTraffic;
-  store_control mState;
-  fleet_gateway mFront;
-  planned_stop<fleet_gateway> mStop;
+  control_thread mControlThread;
+  control_thread mTrafficThread;
+  store_control mFleetControl;
+  fleet_gateway mGateway;
+  planned_stop<fleet_gateway> mPlannedStop;
 };
 
 }
--- a/Services/lycheeseamd/FleetOptions.cpp
+++ b/Services/lycheeseamd/FleetOptions.cpp
@@ -9,7 +9,8 @@
 
 namespace {
 
-// A restart has a later start, also on another machine of the same name.
+// The start time in Unix milliseconds: a restart gets a greater number, even on
+// another machine under the same instance id.
 incarnation
 ThisIncarnation()
 {
@@ -22,12 +23,13 @@
 MakeGatewayOptions(fleet_settings const& aSettings)
 {
   constexpr double kPercent = 100.0;
-  // Half of the slack covers what instances count differently from servers.
-  constexpr double kSlackPart = 0.5;
-  // Of what a window may hold beyond rate and burst.
-  constexpr double kOvershoot = 0.05;
-  // A request may wait in an engine's queue before it begins, and the news of
-  // weights takes a while to get here.
+  // The quota uses half of the slack. The other half covers differences between
+  // the instances' counts and the servers'.
+  constexpr double kSlackShare = 0.5;
+  // A window's usage may exceed rate and burst by this share of them.
+  constexpr double kOvershootShare = 0.05;
+  // A request may wait in an engine's queue before it runs, and updates of
+  // weights reach this instance with a delay.
   constexpr std::chrono::milliseconds kWeightsMargin{ 1'500 };
   return {
     .mInstance = aSettings.mInstance,
@@ -36,9 +38,9 @@
     .mReadiness = aSettings.mReadiness,
     .mAddresses = aSettings.mAddresses,
     .mQuota = { .mWindow = aSettings.mQuotaWindow,
-                .mOvershoot = kOvershoot,
+                .mOvershoot = kOvershootShare,
                 .mSlackUnits =
-                  kSlackPart * static_cast<double>(aSettings.mQuotaSlack),
+                  kSlackShare * static_cast<double>(aSettings.mQuotaSlack),
                 .mSeed = std::random_device{}() },
     .mRetryRatio = static_cast<double>(aSettings.mRetryPercent) / kPercent,
     .mRetrySlack = static_cast<double>(aSettings.mRetrySlack),
@@ -52,14 +54,14 @@
 fleet_options
 MakeFleetOptions(fleet_settings const& aSettings)
 {
-  constexpr double kThousandths = 1'000;
+  constexpr double kThousandthsPerCore = 1'000;
   return { .mSelf = { .mIdentity = { .mInstance = aSettings.mInstance,
                                      .mIncarnation = ThisIncarnation() },
                       .mFailureDomain = aSettings.mDomain,
                       .mCallers = aSettings.mCallers,
                       .mPeers = aSettings.mPeers,
-                      .mCapacity = static_cast<std::uint32_t>(aSettings.mCores *
-                                                              kThousandths) },
+                      .mCapacity = static_cast<std::uint32_t>(
+                        aSettings.mCores * kThousandthsPerCore) },
            .mStore = aSettings.mStore,
            .mMetrics = aSettings.mMetrics,
            .mLease = aSettings.mLease };
--- a/Services/lycheeseamd/FleetOptions.h
+++ b/Services/lycheeseamd/FleetOptions.h
@@ -6,11 +6,12 @@
 
 namespace lycheeseam {
 
-/// What the settings tell the traffic thread.
+/// The traffic thread's options, made from the settings.
 gateway_options
 MakeGatewayOptions(fleet_settings const& aSettings);
 
-/// What the settings tell the control thread; each call is a new life.
+/// The control thread's options, made from the settings. Each call gives the
+/// instance a new incarnation.
 fleet_options
 MakeFleetOptions(fleet_settings const& aSettings);
 
--- a/Services/lycheeseamd/Main.cpp
+++ b/Services/lycheeseamd/Main.cpp
@@ -24,10 +24,10 @@
 Run(daemon_settings aSettings)
 {
   sigset_t const signals = BlockSignals(std::array{ SIGTERM, SIGINT });
-  router running{ std::move(aSettings) };
+  router instance{ std::move(aSettings) };
   int signal = 0;
   sigwait(&signals, &signal);
-  running.Drain();
+  instance.Drain();
   return exit_code::Success;
 }
 
@@ -45,7 +45,7 @@
 Start()
 {
   if (FLAGS_config.empty()) {
-    std::cerr << "lycheeseamd: --config FILE is needed\n";
+    std::cerr << "lycheeseamd: the flag --config FILE is missing\n";
     return exit_code::Usage;
   }
   try {
--- a/Services/lycheeseamd/PlannedStop.h
+++ b/Services/lycheeseamd/PlannedStop.h
@@ -11,7 +11,9 @@
 
 namespace lycheeseam {
 
-/// A planned stop: serves what comes until nothing runs.
+/// Stops a gateway as planned: drains it, closes it to new connections, and
+/// waits until it is idle or the stop time ends. Runs on the thread of its
+/// io_context.
 template<typename Gateway>
 class planned_stop
 {
@@ -25,7 +27,8 @@
   {
   }
 
-  /// Begins on the context's thread; the future is ready when all is done.
+  /// Starts the stop; called on the context's thread. The future is ready when
+  /// the gateway is idle or the stop time has ended.
   std::future<void> Begin()
   {
     mGateway.StartDraining();
@@ -35,22 +38,23 @@
   }
 
 private:
-  // Callers that keep an old answer for addresses still come this long.
-  static constexpr std::chrono::milliseconds kCloseTime{ 2'500 };
-  static constexpr std::chrono::milliseconds kLeastTime{ 3'000 };
-  // The end comes before the platform ends the process.
-  static constexpr std::chrono::milliseconds kMargin{ 300 };
-  static constexpr std::chrono::milliseconds kInterval{ 50 };
+  // Callers that cache an earlier list of addresses still connect for this
+  // long.
+  static constexpr std::chrono::milliseconds kAcceptTime{ 2'500 };
+  static constexpr std::chrono::milliseconds kMinStopTime{ 3'000 };
+  // The stop ends this long before the platform kills the process.
+  static constexpr std::chrono::milliseconds kKillMargin{ 300 };
+  static constexpr std::chrono::milliseconds kCheckInterval{ 50 };
 
   void Check()
   {
-    duration const passed = mClock.Now() - *mBeganAt;
-    bool const isDone = passed >= kLeastTime && mGateway.IsIdle();
-    if (isDone || passed >= mStopTime - kMargin)
+    duration const elapsed = mClock.Now() - *mBeganAt;
+    bool const isDone = elapsed >= kMinStopTime && mGateway.IsIdle();
+    if (isDone || elapsed >= mStopTime - kKillMargin)
       return mDone.set_value();
-    if (passed >= kCloseTime)
+    if (elapsed >= kAcceptTime)
       mGateway.Close();
-    mTimer.expires_after(kInterval);
+    mTimer.expires_after(kCheckInterval);
     mTimer.async_wait([this](boost::system::error_code aFault) {
       if (!aFault)
         Check();
--- a/Services/lycheeseamd/RunFleet.cpp
+++ b/Services/lycheeseamd/RunFleet.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-// Returns when the process is told to stop.
+// Returns on a stop signal. SIGHUP is logged only.
 void
 AwaitStop(sigset_t const& aSignals)
 {
@@ -41,8 +41,9 @@
     instance.Stop();
   }
   LogEvent("stopped", {});
-  // The logging library joins its threads when its statics are destroyed,
-  // which may outlast the time for a stop. Nothing else is left to do.
+  // The logging library joins its threads when its static objects are
+  // destroyed, which may take longer than the stop time. No other cleanup is
+  // needed.
   std::quick_exit(0);
 }
 
--- a/Services/lycheeseamd/RunFleet.h
+++ b/Services/lycheeseamd/RunFleet.h
@@ -4,9 +4,9 @@
 
 namespace lycheeseam {
 
-/// Runs an instance whose state lies in a platform's store until it is told to
-/// stop, and ends the process. Throws settings_error when the settings have
-/// faults.
+/// Runs an instance that keeps its state in the platform's store until a stop
+/// signal comes, then ends the process. Throws settings_error when the settings
+/// are invalid.
 void
 RunFleet(std::string const& aSettingsPath);
 
--- a/Services/lycheeseamd/StopSignals.cpp
+++ b/Services/lycheeseamd/StopSignals.cpp
@@ -10,7 +10,7 @@
   for (int const signal : aSignals)
     sigaddset(&signals, signal);
   pthread_sigmask(SIG_BLOCK, &signals, nullptr);
-  // A caller that goes away must not end the process.
+  // A write to a connection that a caller has closed must not end the process.
   std::signal(SIGPIPE, SIG_IGN);
   return signals;
 }
--- a/Services/lycheeseamd/StopSignals.h
+++ b/Services/lycheeseamd/StopSignals.h
@@ -5,9 +5,10 @@
 
 namespace lycheeseam {
 
-/// Blocks signals, so that a thread may wait for them: no code runs in a
-/// handler. Threads started later inherit the mask. Also lets writes to closed
-/// connections fail rather than end the process.
+/// Blocks signals in the calling thread, so that a thread can wait for them
+/// with sigwait and no signal handler is needed. Threads started later inherit
+/// the mask. Also ignores SIGPIPE, so that a write to a closed connection fails
+/// instead of ending the process.
 sigset_t
 BlockSignals(std::span<int const> aSignals);
 
