--- a/Libraries/LibHttp/AnswerHead.h
+++ b/Libraries/LibHttp/AnswerHead.h
@@ -9,13 +9,13 @@
 
 namespace lycheeseam {
 
-/// The first lines of an HTTP answer.
+/// The status line and the header fields of an HTTP answer.
 struct answer_head
 {
   std::uint32_t mStatus = 0;
   std::string mReason;
   std::vector<header_field> mFields;
-  /// The body's size in bytes, when the answer tells it.
+  /// The body's size in bytes, when the head states it.
   std::optional<std::uint64_t> mLength;
 
   /// True for 2xx.
--- a/Libraries/LibHttp/FieldLookup.cpp
+++ b/Libraries/LibHttp/FieldLookup.cpp
@@ -22,7 +22,7 @@
 };
 
 bool
-IsSameLetter(char aLeft, char aRight)
+IsSameCharacter(char aLeft, char aRight)
 {
   return std::tolower(static_cast<unsigned char>(aLeft)) ==
          std::tolower(static_cast<unsigned char>(aRight));
@@ -55,7 +55,7 @@
 IsSameFieldName(std::string_view aLeft, std::string_view aRight)
 {
   return std::equal(
-    aLeft.begin(), aLeft.end(), aRight.begin(), aRight.end(), IsSameLetter);
+    aLeft.begin(), aLeft.end(), aRight.begin(), aRight.end(), IsSameCharacter);
 }
 
 std::optional<std::string_view>
--- a/Libraries/LibHttp/FormatHead.cpp
+++ b/Libraries/LibHttp/FormatHead.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-// Most heads fit; a longer one costs one more allocation.
-constexpr std::size_t kUsualHeadBytes = 512;
+// Room for most heads, so that they need one allocation.
+constexpr std::size_t kReservedHeadBytes = 512;
 
 void
 AppendFields(std::string& aText, std::vector<header_field> const& aFields)
@@ -28,7 +28,7 @@
 FormatRequestHead(request_head const& aHead)
 {
   std::string text;
-  text.reserve(kUsualHeadBytes);
+  text.reserve(kReservedHeadBytes);
   text += aHead.mMethod;
   text += ' ';
   text += aHead.mTarget;
@@ -41,7 +41,7 @@
 FormatAnswerHead(answer_head const& aHead)
 {
   std::string text;
-  text.reserve(kUsualHeadBytes);
+  text.reserve(kReservedHeadBytes);
   text += "HTTP/1.1 ";
   text += std::to_string(aHead.mStatus);
   text += ' ';
@@ -54,10 +54,10 @@
 std::string
 FormatChunkLine(std::size_t aBytes)
 {
-  constexpr int kHexadecimal = 16;
+  constexpr int kHexadecimalBase = 16;
   std::array<char, 2 * sizeof(aBytes)> digits{};
   auto const [end, fault] = std::to_chars(
-    digits.data(), digits.data() + digits.size(), aBytes, kHexadecimal);
+    digits.data(), digits.data() + digits.size(), aBytes, kHexadecimalBase);
   return std::string{ digits.data(), end } + "\r\n";
 }
 
--- a/Libraries/LibHttp/FormatHead.h
+++ b/Libraries/LibHttp/FormatHead.h
@@ -8,19 +8,19 @@
 
 namespace lycheeseam {
 
-/// The bytes of a request's head, up to the empty line.
+/// Encodes a request's head, including the empty line at its end.
 std::string
 FormatRequestHead(request_head const& aHead);
 
-/// The bytes of an answer's head, up to the empty line.
+/// Encodes an answer's head, including the empty line at its end.
 std::string
 FormatAnswerHead(answer_head const& aHead);
 
-/// The line that begins a chunk of aBytes bytes.
+/// Encodes the line that begins a chunk of aBytes bytes.
 std::string
 FormatChunkLine(std::size_t aBytes);
 
-/// What ends a chunked body.
+/// The last chunk and the empty line that end a chunked body.
 constexpr std::string_view kLastChunk = "0\r\n\r\n";
 
 }
--- a/Libraries/LibHttp/HttpClient.cpp
+++ b/Libraries/LibHttp/HttpClient.cpp
@@ -17,7 +17,7 @@
 
 namespace {
 
-// Answers of the store hold up to 1 MB of records, in base64 or raw.
+// An answer of the store holds up to 1 MB of records, raw or in base64.
 constexpr std::uint64_t kMaxAnswerBytes = 8ULL * 1024 * 1024;
 
 }
@@ -60,7 +60,7 @@
     boost::asio::ip::address const address =
       boost::asio::ip::make_address(mCall.mTo.mAddress, fault);
     if (fault)
-      return End("the address is no IP number");
+      return End("the address of the call is not an IP address");
     mSocket->async_connect(
       { address, mCall.mTo.mPort },
       [self = shared_from_this()](boost::system::error_code aFault) {
@@ -80,9 +80,9 @@
     mCall.mHead.mFields.push_back({ "Host", mCall.mTo.Text() });
     mCall.mHead.mFields.push_back(
       { "Content-Length", std::to_string(mCall.mBody.size()) });
-    mBytes = FormatRequestHead(mCall.mHead);
+    mHeadBytes = FormatRequestHead(mCall.mHead);
     std::array<boost::asio::const_buffer, 2> const buffers{
-      boost::asio::buffer(mBytes), boost::asio::buffer(mCall.mBody)
+      boost::asio::buffer(mHeadBytes), boost::asio::buffer(mCall.mBody)
     };
     boost::asio::async_write(*mSocket,
                              buffers,
@@ -130,7 +130,7 @@
   system_clock mClock;
   instant mStartedAt{};
   std::shared_ptr<tcp::socket> mSocket;
-  std::string mBytes;
+  std::string mHeadBytes;
   boost::beast::flat_buffer mBuffer;
   boost::beast::http::response_parser<boost::beast::http::string_body> mParser;
   verdict mVerdict = verdict::NotRun;
--- a/Libraries/LibHttp/HttpClient.h
+++ b/Libraries/LibHttp/HttpClient.h
@@ -15,8 +15,9 @@
 
 namespace lycheeseam {
 
-/// Makes HTTP calls on the thread of its io_context, keeps connections open
-/// between them, and counts and times the calls. Never repeats one by itself.
+/// An HTTP client for control calls. It runs on the thread of its io_context,
+/// reuses idle connections, and records the calls' counts and times as metrics.
+/// It never retries a call.
 class http_client
 {
 public:
@@ -25,7 +26,7 @@
 
   http_client(boost::asio::io_context& aContext, metrics_recorder& aRecorder);
 
-  /// Makes a call; the handler runs once, on the context's thread.
+  /// Starts a call; the handler runs exactly once, on the context's thread.
   void Call(http_exchange_call aCall, handler aHandler);
 
 private:
--- a/Libraries/LibHttp/HttpExchangeCall.h
+++ b/Libraries/LibHttp/HttpExchangeCall.h
@@ -9,15 +9,15 @@
 
 namespace lycheeseam {
 
-/// One call of an http_client.
+/// One request that an http_client sends, and where it is sent to.
 struct http_exchange_call
 {
-  /// What the call is for, as the metrics name it; outlives the call.
+  /// The value of the metrics' label "purpose"; the text outlives the call.
   std::string_view mPurpose;
   endpoint mTo;
   request_head mHead;
   std::string mBody;
-  /// From the call to the whole answer.
+  /// From the start of the call to the end of the answer.
   duration mTimeout{};
 };
 
--- a/Libraries/LibHttp/HttpExchangeResult.h
+++ b/Libraries/LibHttp/HttpExchangeResult.h
@@ -7,15 +7,16 @@
 
 namespace lycheeseam {
 
-/// How a call of an http_client ended.
+/// The answer to a call of an http_client, or why none came.
 struct http_exchange_result
 {
-  /// NotRun when no byte left; MayHaveRun when no answer came; else Ran.
+  /// NotRun when nothing was sent, MayHaveRun when the request was sent and no
+  /// complete answer came, else Ran.
   verdict mVerdict = verdict::NotRun;
-  /// Status 0 when no answer came.
+  /// Its status is 0 when no complete answer came.
   answer_head mHead;
   std::string mBody;
-  /// Why no answer came; empty otherwise.
+  /// Why no complete answer came; empty otherwise.
   std::string mFault;
 };
 
--- a/Libraries/LibHttp/HttpStatus.h
+++ b/Libraries/LibHttp/HttpStatus.h
@@ -2,7 +2,7 @@
 
 #include <cstdint>
 
-/// \file The statuses of RFC 9110 that calls are decided by.
+/// \file The HTTP status codes of RFC 9110 that the code compares with.
 
 namespace lycheeseam {
 
--- a/Libraries/LibHttp/RequestHead.h
+++ b/Libraries/LibHttp/RequestHead.h
@@ -8,11 +8,11 @@
 
 namespace lycheeseam {
 
-/// The first lines of an HTTP request.
+/// The request line and the header fields of an HTTP request.
 struct request_head
 {
   std::string mMethod;
-  /// Path and query as they came.
+  /// Path and query as received, not decoded.
   std::string mTarget;
   std::vector<header_field> mFields;
 
--- a/Libraries/LibHttp/TakeHead.h
+++ b/Libraries/LibHttp/TakeHead.h
@@ -10,7 +10,8 @@
 
 namespace lycheeseam {
 
-/// Copies the headers of a parsed message in their order, with repeats.
+/// Copies the header fields of a parsed message: in order, and repeated fields
+/// as often as they occur.
 template<typename Fields>
 std::vector<header_field>
 TakeFields(Fields const& aFields)
@@ -22,7 +23,7 @@
   return fields;
 }
 
-/// The head of a parsed request.
+/// Copies the head out of the parser of a request.
 template<typename Parser>
 request_head
 TakeRequestHead(Parser const& aParser)
@@ -32,7 +33,7 @@
            .mFields = TakeFields(aParser.get().base()) };
 }
 
-/// The head of a parsed answer.
+/// Copies the head out of the parser of an answer.
 template<typename Parser>
 answer_head
 TakeAnswerHead(Parser const& aParser)
--- a/Libraries/LibHttp/WatchLiveness.cpp
+++ b/Libraries/LibHttp/WatchLiveness.cpp
@@ -8,15 +8,16 @@
 
 namespace {
 
-// The shortest that the kernel allows, in seconds.
-constexpr int kProbeAfter = 1;
-constexpr int kProbeInterval = 1;
+// The shortest times that the kernel allows.
+constexpr int kProbeAfterSeconds = 1;
+constexpr int kProbeIntervalSeconds = 1;
 constexpr int kProbes = 2;
 
 void
 SetOption(int aSocket, int aLevel, int aName, int aValue)
 {
-  // A system without the option finds out by its time limits instead.
+  // The result is ignored: on a system without the option, the time limits of
+  // requests detect an unreachable peer instead.
   ::setsockopt(aSocket, aLevel, aName, &aValue, sizeof(aValue));
 }
 
@@ -29,8 +30,8 @@
   int const native = aSocket.native_handle();
   SetOption(
     native, IPPROTO_TCP, TCP_USER_TIMEOUT, static_cast<int>(aTimeout.count()));
-  SetOption(native, IPPROTO_TCP, TCP_KEEPIDLE, kProbeAfter);
-  SetOption(native, IPPROTO_TCP, TCP_KEEPINTVL, kProbeInterval);
+  SetOption(native, IPPROTO_TCP, TCP_KEEPIDLE, kProbeAfterSeconds);
+  SetOption(native, IPPROTO_TCP, TCP_KEEPINTVL, kProbeIntervalSeconds);
   SetOption(native, IPPROTO_TCP, TCP_KEEPCNT, kProbes);
   SetOption(native, SOL_SOCKET, SO_KEEPALIVE, 1);
 }
--- a/Libraries/LibHttp/WatchLiveness.h
+++ b/Libraries/LibHttp/WatchLiveness.h
@@ -6,9 +6,10 @@
 
 namespace lycheeseam {
 
-/// Lets a connection fail when its other end has fallen silent: when sent
-/// bytes stay unacknowledged for aTimeout, or when an idle connection's probes
-/// do. Slow work on the other end doesn't count, since its machine answers.
+/// Makes a connection fail when its peer is unreachable: when sent bytes, or
+/// the TCP keep-alive probes of an idle connection, stay unacknowledged for
+/// aTimeout. A peer that merely works slowly isn't affected, since its kernel
+/// acknowledges.
 void
 WatchLiveness(boost::asio::ip::tcp::socket& aSocket,
               std::chrono::milliseconds aTimeout);
--- a/Tests/LibHttp/TestFieldLookup.cpp
+++ b/Tests/LibHttp/TestFieldLookup.cpp
@@ -7,14 +7,14 @@
 
 namespace {
 
-TEST(TestFieldLookup, NamesDifferByLettersOnly)
+TEST(TestFieldLookup, FieldNamesAreComparedWithoutCase)
 {
   std::vector<header_field> const fields{ { "Request-Id", "1" } };
   EXPECT_EQ(FindField(fields, "request-ID"), "1");
   EXPECT_FALSE(FindField(fields, "request-id2"));
 }
 
-TEST(TestFieldLookup, ConnectionNamesItsOwnFields)
+TEST(TestFieldLookup, ConnectionFieldsIncludeThoseThatConnectionNames)
 {
   std::vector<header_field> const fields{ { "Connection", "close, X-Hop" } };
   EXPECT_TRUE(IsConnectionField(fields, "x-hop"));
@@ -22,7 +22,7 @@
   EXPECT_FALSE(IsConnectionField(fields, "Host"));
 }
 
-TEST(TestFieldLookup, NumbersAreWholeTexts)
+TEST(TestFieldLookup, OnlyTextsThatAreWholeNumbersAreParsed)
 {
   EXPECT_EQ(ParseWholeNumber("12"), 12);
   EXPECT_FALSE(ParseWholeNumber("12x"));
