--- a/Libraries/LibOpenAi/AddBodyFields.cpp
+++ b/Libraries/LibOpenAi/AddBodyFields.cpp
@@ -8,9 +8,10 @@
 
 namespace {
 
-// A field is spliced in before the closing brace: parsing and writing a long
-// prompt again would cost more than the rest of its way. There it also wins
-// over an earlier field of that name, such as a "max_tokens" of null.
+// Inserts the field before the closing brace. Parsing and formatting a long
+// prompt again would cost more than all other work on the request. The last
+// field of a name is the one that counts, so that this field also overrides an
+// earlier one, such as a "max_tokens" of null.
 std::string
 AddField(std::string_view aBody, std::string_view aField)
 {
--- a/Libraries/LibOpenAi/AddBodyFields.h
+++ b/Libraries/LibOpenAi/AddBodyFields.h
@@ -7,13 +7,13 @@
 
 namespace lycheeseam {
 
-/// The completion request's body with "max_tokens" added. The body is a JSON
-/// object with at least one field.
+/// Adds "max_tokens" to a completion request's body, a JSON object with at
+/// least one field.
 std::string
 AddMaxTokens(std::string_view aBody, token_count aLimit);
 
-/// The completion request's body with the answer's text so far added, behind
-/// which the engine is to go on.
+/// Adds "resume_from" to such a body: the answer's text so far, after which the
+/// engine continues.
 std::string
 AddResumeFrom(std::string_view aBody, std::string_view aText);
 
--- a/Libraries/LibOpenAi/AnswerText.cpp
+++ b/Libraries/LibOpenAi/AnswerText.cpp
@@ -8,15 +8,16 @@
 
 using nlohmann::json;
 
-// A chat's text stands in "delta", a completion's beside it.
+// A chat's text is in the choice's "delta", a completion's in the choice
+// itself.
 void
 AppendChoice(json const& aChoice, std::string& aText)
 {
   auto const delta = aChoice.find("delta");
   bool const isChat = delta != aChoice.end() && delta->is_object();
-  json const& holder = isChat ? *delta : aChoice;
-  auto const text = holder.find(isChat ? "content" : "text");
-  if (text != holder.end() && text->is_string())
+  json const& container = isChat ? *delta : aChoice;
+  auto const text = container.find(isChat ? "content" : "text");
+  if (text != container.end() && text->is_string())
     aText += text->get_ref<std::string const&>();
 }
 
--- a/Libraries/LibOpenAi/AnswerText.h
+++ b/Libraries/LibOpenAi/AnswerText.h
@@ -5,7 +5,8 @@
 
 namespace lycheeseam {
 
-/// The text that a stream's events have brought so far.
+/// Joins the text of the first choice in each of a stream's server-sent events.
+/// Events without text are skipped.
 std::string
 AnswerText(std::string_view aEvents);
 
--- a/Libraries/LibOpenAi/EventStreamScan.cpp
+++ b/Libraries/LibOpenAi/EventStreamScan.cpp
@@ -12,7 +12,8 @@
       mLine += aBytes;
       return;
     }
-    // Whole lines are looked at in place; only a broken one is copied.
+    // A complete line is scanned in place; only a line that is split over
+    // several calls is copied.
     if (mLine.empty()) {
       ConsumeLine(aBytes.substr(0, end));
     } else {
@@ -36,8 +37,8 @@
     return;
   }
   ++mEvents;
-  // Parsing every event would cost more than all else on a token's way, and
-  // only the last one carries counts.
+  // Only the last event carries the usage. Parsing every event as JSON would
+  // cost more than all other work on a token.
   if (data.find("\"usage\":{") == std::string_view::npos &&
       data.find("\"usage\": {") == std::string_view::npos)
     return;
--- a/Libraries/LibOpenAi/EventStreamScan.h
+++ b/Libraries/LibOpenAi/EventStreamScan.h
@@ -9,24 +9,25 @@
 
 namespace lycheeseam {
 
-/// Follows a stream of server-sent events without taking it apart: counts
-/// its events, keeps the usage, and knows whether the stream is complete.
+/// Scans a stream of server-sent events that is forwarded unchanged: counts its
+/// events, reads the usage, and tells whether the stream is complete.
 class event_stream_scan
 {
 public:
-  /// Feeds the next bytes of the stream; they may break anywhere.
+  /// Scans the next bytes of the stream; they may begin and end anywhere.
   void Consume(std::string_view aBytes);
 
-  /// The events with content seen so far: a lower bound of the tokens sent.
+  /// The number of events with content so far: a lower bound of the tokens
+  /// sent.
   [[nodiscard]] std::uint64_t Events() const noexcept { return mEvents; }
 
-  /// True once the stream's last event, "[DONE]", has passed.
+  /// True once the stream's last event, "[DONE]", has been scanned.
   [[nodiscard]] bool IsDone() const noexcept { return mDone; }
 
-  /// True when the bytes so far end with a whole event.
+  /// True when the bytes so far end with a complete event.
   [[nodiscard]] bool IsAtEventEnd() const noexcept { return mLine.empty(); }
 
-  /// The usage, which engines put into the last event before "[DONE]".
+  /// The usage, which engines report in the last event before "[DONE]".
   [[nodiscard]] std::optional<token_usage> const& Usage() const noexcept
   {
     return mUsage;
--- a/Libraries/LibOpenAi/FormatModels.h
+++ b/Libraries/LibOpenAi/FormatModels.h
@@ -6,7 +6,7 @@
 
 namespace lycheeseam {
 
-/// The answer to /v1/models: each model that some route serves.
+/// The JSON body of the answer to /v1/models: each model that a route names.
 std::string
 FormatModels(config_tables const& aTables);
 
--- a/Libraries/LibOpenAi/FormatRefusal.cpp
+++ b/Libraries/LibOpenAi/FormatRefusal.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-// OpenAI's error types, which client libraries map to their exceptions.
+// The OpenAI API's error types, which client libraries map to exceptions.
 std::string_view
 ErrorType(std::uint16_t aStatus)
 {
@@ -33,7 +33,7 @@
         { "verdict", VerdictName(aRefusal.mVerdict) },
         { "request_id", aRequest.Text() } } },
   };
-  // Messages may quote a caller's bytes; broken UTF-8 in them is replaced.
+  // Messages may quote a caller's bytes; invalid UTF-8 in them is replaced.
   return body.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
 }
 
--- a/Libraries/LibOpenAi/FormatRefusal.h
+++ b/Libraries/LibOpenAi/FormatRefusal.h
@@ -7,11 +7,12 @@
 
 namespace lycheeseam {
 
-/// A refusal in the shape of OpenAI's errors, with the verdict beside it.
+/// Formats a refusal as an error body of the OpenAI API, with the verdict as an
+/// additional field.
 std::string
 FormatRefusal(refusal const& aRefusal, request_id const& aRequest);
 
-/// The refusal as the last event of a stream that had begun.
+/// Formats a refusal as the last event of a stream that has begun.
 std::string
 FormatRefusalEvent(refusal const& aRefusal, request_id const& aRequest);
 
--- a/Libraries/LibOpenAi/ParseCompletion.cpp
+++ b/Libraries/LibOpenAi/ParseCompletion.cpp
@@ -22,7 +22,8 @@
   return parsed;
 }
 
-// A message's content is a text or a list of parts, of which text counts.
+// A message's content is a string or an array of parts, of which only text
+// parts count.
 void
 AppendContent(json const& aContent, std::string& aPrompt)
 {
@@ -33,7 +34,8 @@
   if (aContent.is_null())
     return;
   if (!aContent.is_array())
-    throw invalid_input("\"messages[].content\" is neither text nor a list");
+    throw invalid_input(
+      "\"messages[].content\" is neither a string nor an array");
   for (json const& part : aContent) {
     auto const text = part.find("text");
     if (text != part.end() && text->is_string())
@@ -45,13 +47,14 @@
 PromptOfMessages(json const& aMessages)
 {
   if (!aMessages.is_array() || aMessages.empty())
-    throw invalid_input("\"messages\" is not a list with entries");
+    throw invalid_input("\"messages\" is not an array with at least one entry");
   std::string prompt;
   for (json const& message : aMessages) {
     auto const role = message.find("role");
     if (role == message.end() || !role->is_string())
-      throw invalid_input("\"messages[].role\" is missing or not a text");
-    // The role is part of what an engine caches, so it is part of the prefix.
+      throw invalid_input("\"messages[].role\" is missing or not a string");
+    // Engines cache the role along with the content, so it is part of the
+    // prefix.
     prompt += "<|" + role->get_ref<std::string const&>() + "|>";
     auto const content = message.find("content");
     if (content != message.end())
@@ -68,9 +71,10 @@
     return PromptOfMessages(*messages);
   auto const prompt = aBody.find("prompt");
   if (prompt == aBody.end())
-    throw invalid_input("neither \"messages\" nor \"prompt\" is there");
+    throw invalid_input(
+      "the fields \"messages\" and \"prompt\" are both missing");
   if (!prompt->is_string())
-    throw invalid_input("\"prompt\" is not a text");
+    throw invalid_input("\"prompt\" is not a string");
   return prompt->get<std::string>();
 }
 
@@ -84,7 +88,7 @@
       continue;
     if (!field->is_number_integer() || field->get<std::int64_t>() < 1)
       throw invalid_input(std::string{ "\"" } + name +
-                          "\" is not a whole number above 0");
+                          "\" is not an integer of at least 1");
     return field->get<token_count>();
   }
   return std::nullopt;
@@ -97,7 +101,7 @@
   if (stream == aBody.end() || stream->is_null())
     return answer_delivery::Whole;
   if (!stream->is_boolean())
-    throw invalid_input("\"stream\" is neither true nor false");
+    throw invalid_input("\"stream\" is not a boolean");
   return stream->get<bool>() ? answer_delivery::Streamed
                              : answer_delivery::Whole;
 }
@@ -110,7 +114,7 @@
   json const body = ParseObject(aBody);
   auto const model = body.find("model");
   if (model == body.end() || !model->is_string())
-    throw invalid_input("\"model\" is missing or not a text");
+    throw invalid_input("\"model\" is missing or not a string");
   return completion_parameters{ .mModel =
                                   model_name{ model->get<std::string>() },
                                 .mPrompt = PromptOf(body),
--- a/Libraries/LibOpenAi/ParseCompletion.h
+++ b/Libraries/LibOpenAi/ParseCompletion.h
@@ -6,8 +6,8 @@
 
 namespace lycheeseam {
 
-/// Reads what routing needs from a completion request's JSON body. Throws
-/// invalid_input naming the field at fault.
+/// Reads the parameters that routing needs from a completion request's JSON
+/// body. Throws invalid_input that names the invalid field.
 completion_parameters
 ParseCompletion(std::string_view aBody);
 
--- a/Libraries/LibOpenAi/ParseUsage.h
+++ b/Libraries/LibOpenAi/ParseUsage.h
@@ -7,8 +7,8 @@
 
 namespace lycheeseam {
 
-/// Reads "usage" from a completion or from a stream's event; nothing when
-/// the text is not JSON or has none.
+/// Reads "usage" from the JSON of a completion or of a stream's event; nothing
+/// when the text is not JSON or has no usage.
 std::optional<token_usage>
 ParseUsage(std::string_view aJson);
 
