--- a/Libraries/LibControl/MakeUpstreamRequest.cpp
+++ b/Libraries/LibControl/MakeUpstreamRequest.cpp
@@ -32,7 +32,7 @@
   bool const mayResume =
     aCall.mAdmitted.mRoute.mResume == stream_resume::OtherServer &&
     aCall.mRequest.mKind == call_kind::Completion;
-  return mayResume ? event_recording::Kept : event_recording::Off;
+  return mayResume ? event_recording::On : event_recording::Off;
 }
 
 void
--- a/Libraries/LibUpstream/Transfer.cpp
+++ b/Libraries/LibUpstream/Transfer.cpp
@@ -7,18 +7,19 @@
 
 namespace {
 
-// Whole answers up to this size are held until they are complete, so that a
-// lost backend server can still be answered by a retry or a true refusal.
-constexpr std::size_t kHoldBytes = 4UL * 1024 * 1024;
+// Except for event streams, an answer up to this size is buffered until it is
+// complete, so that a retry or a correct refusal is still possible when the
+// backend server fails.
+constexpr std::size_t kMaxBufferedBytes = 4UL * 1024 * 1024;
 
-// An answer that stops for this long is given up.
+// An attempt whose answer brings no bytes for this long fails.
 constexpr long kStallSeconds = 30;
 
-// From this status on the answer is the backend server's own failure, which
-// control may retry elsewhere; it is never passed on in pieces.
+// From this status on the answer is a failure of the backend server, which the
+// control thread may retry at another one; it is never forwarded in pieces.
 constexpr std::uint16_t kFirstErrorStatus = 500;
 
-// What ends an event of an event stream.
+// The empty line that ends an event of an event stream.
 constexpr std::string_view kEventEnd = "\n\n";
 
 }
@@ -45,14 +46,14 @@
   std::string const url =
     "http://" + mRequest.mServer.Text() + mRequest.mTarget;
   curl_easy_setopt(handle, CURLOPT_URL, url.c_str());
-  // The target goes on byte for byte, without the library's tidying.
+  // Sends the target unchanged; libcurl would normalize ".." in the path.
   curl_easy_setopt(handle, CURLOPT_PATH_AS_IS, 1L);
   if (mRequest.mMethod == "HEAD") {
     curl_easy_setopt(handle, CURLOPT_NOBODY, 1L);
     return;
   }
   if (mRequest.mBody && !mRequest.mBody->empty()) {
-    // The body is sent from where it stands: a long prompt isn't copied.
+    // libcurl reads the body in place, so that a long prompt isn't copied.
     curl_easy_setopt(handle, CURLOPT_POSTFIELDS, mRequest.mBody->data());
     curl_easy_setopt(handle,
                      CURLOPT_POSTFIELDSIZE_LARGE,
@@ -91,8 +92,9 @@
   curl_easy_setopt(handle, CURLOPT_WRITEDATA, this);
   if (mRequest.mMethod == "GET" || mRequest.mMethod == "HEAD")
     return;
-  // libcurl silently sends a request again when a reused connection dies
-  // before the first byte. Nothing that may have an effect goes over one.
+  // libcurl silently resends a request when a reused connection is closed
+  // before the answer's first byte. So a request that may have side effects
+  // always gets a new connection.
   curl_easy_setopt(handle, CURLOPT_FRESH_CONNECT, 1L);
   curl_easy_setopt(handle, CURLOPT_FORBID_REUSE, 1L);
 }
@@ -126,27 +128,27 @@
   if (mIsEventStream)
     mScan.Consume(aBytes);
   mBytes += aBytes;
-  if (!mIsListed)
+  if (!mIsInReceived)
     mReceived.push_back(this);
-  mIsListed = true;
-  if (mForwarding == forwarding::Held && mBytes.size() > kHoldBytes)
-    mForwarding = forwarding::PassedOn;
+  mIsInReceived = true;
+  if (mForwarding == forwarding::Buffered && mBytes.size() > kMaxBufferedBytes)
+    mForwarding = forwarding::Forwarded;
 }
 
 void
 transfer::DecideForwarding()
 {
   mIsEventStream = ContentType().starts_with("text/event-stream");
-  bool const passOn = mIsEventStream && Status() < kFirstErrorStatus;
-  mForwarding = passOn ? forwarding::PassedOn : forwarding::Held;
+  bool const isForwarded = mIsEventStream && Status() < kFirstErrorStatus;
+  mForwarding = isForwarded ? forwarding::Forwarded : forwarding::Buffered;
 }
 
 std::optional<upstream_head>
 transfer::TakeHead()
 {
-  if (mForwarding != forwarding::PassedOn || mHeadTaken)
+  if (mForwarding != forwarding::Forwarded || mIsHeadTaken)
     return std::nullopt;
-  mHeadTaken = true;
+  mIsHeadTaken = true;
   if (mRequest.mPosition == answer_position::Continuation)
     return std::nullopt;
   return upstream_head{ .mCall = mRequest.mCall,
@@ -155,10 +157,10 @@
                         .mContentType = ContentType() };
 }
 
-// Of an event stream only whole events are passed on: when its backend server
-// is lost, another one can go on behind the last of them.
+// Of an event stream only complete events are forwarded: when its backend
+// server fails, another one can continue after the last of them.
 std::size_t
-transfer::PassableBytes() const
+transfer::ForwardableBytes() const
 {
   if (!mIsEventStream)
     return mBytes.size();
@@ -169,20 +171,20 @@
 std::optional<upstream_piece>
 transfer::TakePiece()
 {
-  mIsListed = false;
-  std::size_t const passable = PassableBytes();
-  if (mForwarding != forwarding::PassedOn || passable == 0)
+  mIsInReceived = false;
+  std::size_t const forwardable = ForwardableBytes();
+  if (mForwarding != forwarding::Forwarded || forwardable == 0)
     return std::nullopt;
   upstream_piece piece{ .mCall = mRequest.mCall,
                         .mAttempt = mRequest.mAttempt };
-  if (passable == mBytes.size()) {
+  if (forwardable == mBytes.size()) {
     piece.mBytes.swap(mBytes);
   } else {
-    piece.mBytes = mBytes.substr(0, passable);
-    mBytes.erase(0, passable);
+    piece.mBytes = mBytes.substr(0, forwardable);
+    mBytes.erase(0, forwardable);
   }
-  mForwardedBytes += passable;
-  if (mRequest.mRecording == event_recording::Kept)
+  mForwardedBytes += forwardable;
+  if (mRequest.mRecording == event_recording::On)
     mRecorded += piece.mBytes;
   return piece;
 }
@@ -215,9 +217,11 @@
 transfer::Classify(CURLcode aResult) const
 {
   if (aResult == CURLE_OK) {
-    // A close-delimited stream that ends early looks whole to libcurl.
-    bool const cutShort = mIsEventStream && !mScan.IsDone();
-    return cutShort ? transfer_failure::ConnectionLost : transfer_failure::None;
+    // To libcurl, a stream that is delimited by the connection's end looks
+    // complete even when it ends early.
+    bool const isTruncated = mIsEventStream && !mScan.IsDone();
+    return isTruncated ? transfer_failure::ConnectionLost
+                       : transfer_failure::None;
   }
   if (!WasConnected())
     return transfer_failure::NotConnected;
--- a/Libraries/LibUpstream/Transfer.h
+++ b/Libraries/LibUpstream/Transfer.h
@@ -17,13 +17,14 @@
 
 namespace lycheeseam {
 
-/// One running attempt: a libcurl handle and what has come in so far. Used
-/// on its loop's thread only.
+/// One running attempt at a backend server: a libcurl handle, and the part of
+/// the answer that was received and isn't forwarded yet. Used on the thread of
+/// its upstream_loop only.
 class transfer
 {
 public:
-  /// Sets the handle up; throws error when libcurl has no memory. A transfer
-  /// adds itself to Received when bytes come in.
+  /// Sets up the handle; throws error when libcurl has no memory. The transfer
+  /// adds itself to aReceived when bytes arrive.
   transfer(upstream_request aRequest,
            instant aNow,
            std::vector<transfer*>& aReceived);
@@ -31,32 +32,33 @@
   transfer(transfer const&) = delete;
   transfer& operator=(transfer const&) = delete;
 
-  /// The handle, owned by the transfer.
+  /// The libcurl handle; the transfer owns it.
   [[nodiscard]] CURL* Handle() const noexcept { return mHandle.get(); }
 
   /// The attempt's call.
   [[nodiscard]] call_number Call() const noexcept { return mRequest.mCall; }
 
-  /// When the attempt ends unless a first byte has come by then.
+  /// When the attempt fails unless the answer's first byte has arrived.
   [[nodiscard]] instant FirstByteDeadline() const noexcept
   {
     return mFirstByteDeadline;
   }
 
-  /// True while no byte of the answer has come.
+  /// True while no byte of the answer has arrived.
   [[nodiscard]] bool IsWaiting() const noexcept { return !mFirstByte; }
 
-  /// Stops or restarts the flow of bytes from the backend server.
+  /// Pauses or resumes reading from the backend server.
   void SetFlow(transfer_flow aFlow);
 
-  /// The head to pass on, once, when the answer is passed on in pieces.
+  /// The head to forward, once, when the answer is forwarded in pieces.
   std::optional<upstream_head> TakeHead();
 
-  /// What has come in since the last call, when it is to be passed on.
+  /// The bytes received since the last call that can be forwarded; nothing when
+  /// there are none or the answer is buffered.
   std::optional<upstream_piece> TakePiece();
 
-  /// Describes the end. Failure says why the loop ended the attempt itself;
-  /// Result is libcurl's word otherwise.
+  /// Describes how the attempt ended. aFailure is why the loop itself ended it;
+  /// when it is None, aResult of libcurl decides.
   upstream_end Finish(CURLcode aResult,
                       transfer_failure aFailure,
                       instant aNow);
@@ -71,12 +73,12 @@
     void operator()(curl_slist* aList) const { curl_slist_free_all(aList); }
   };
 
-  // Whether the answer's bytes wait for its end or are passed on at once.
+  // Whether the answer is buffered until it is complete or forwarded in pieces.
   enum class forwarding
   {
     Undecided,
-    Held,
-    PassedOn,
+    Buffered,
+    Forwarded,
   };
 
   static std::size_t OnBytes(char* aData,
@@ -85,7 +87,7 @@
                              void* aTransfer);
   void Receive(std::string_view aBytes);
   void DecideForwarding();
-  [[nodiscard]] std::size_t PassableBytes() const;
+  [[nodiscard]] std::size_t ForwardableBytes() const;
   void SetMethod();
   void SetHeaders();
   void SetConnection();
@@ -96,13 +98,13 @@
 
   upstream_request mRequest;
   std::vector<transfer*>& mReceived;
-  bool mIsListed = false;
+  bool mIsInReceived = false;
   std::unique_ptr<CURL, handle_deleter> mHandle;
   std::unique_ptr<curl_slist, list_deleter> mHeaders;
   instant mFirstByteDeadline;
   std::optional<instant> mFirstByte;
   forwarding mForwarding = forwarding::Undecided;
-  bool mHeadTaken = false;
+  bool mIsHeadTaken = false;
   bool mIsEventStream = false;
   event_stream_scan mScan;
   std::string mBytes;
--- a/Libraries/LibUpstream/TransferFailure.h
+++ b/Libraries/LibUpstream/TransferFailure.h
@@ -2,19 +2,19 @@
 
 namespace lycheeseam {
 
-/// Why an attempt brought no complete answer.
+/// Why an attempt got no complete answer.
 enum class transfer_failure
 {
   None,
-  /// No connection came about, so nothing was sent.
+  /// The connection wasn't established, so nothing was sent.
   NotConnected,
-  /// The connection ended, or the answer was cut short.
+  /// The connection was closed early, or the answer is truncated.
   ConnectionLost,
-  /// No first byte came within its timeout.
+  /// The answer's first byte didn't arrive within its timeout.
   FirstByteTimeout,
-  /// The answer stopped flowing.
+  /// No more bytes of the answer arrived for too long.
   Stalled,
-  /// The router ended the attempt itself.
+  /// The router cancelled the attempt.
   Cancelled,
 };
 
--- a/Libraries/LibUpstream/UpstreamCommand.h
+++ b/Libraries/LibUpstream/UpstreamCommand.h
@@ -6,13 +6,14 @@
 
 namespace lycheeseam {
 
-/// Ends an attempt; the backend server sees its connection close.
+/// Cancels a call's running attempt and closes its connection to the backend
+/// server.
 struct cancel_transfer
 {
   call_number mCall;
 };
 
-/// Whether a call's bytes may flow; a slow caller pauses them.
+/// Whether an attempt's answer is read; it is paused while the caller is slow.
 enum class transfer_flow
 {
   Paused,
@@ -26,7 +27,8 @@
   transfer_flow mFlow = transfer_flow::Flowing;
 };
 
-/// Anything that other threads ask of an upstream loop.
+/// Any command that other threads post to an upstream_loop; an upstream_request
+/// starts an attempt.
 using upstream_command =
   std::variant<upstream_request, cancel_transfer, set_transfer_flow>;
 
--- a/Libraries/LibUpstream/UpstreamEnd.h
+++ b/Libraries/LibUpstream/UpstreamEnd.h
@@ -13,27 +13,27 @@
 
 namespace lycheeseam {
 
-/// How an attempt ended.
+/// How an attempt ended, with its answer or the rest of it.
 struct upstream_end
 {
   call_number mCall;
   attempt_number mAttempt;
   transfer_failure mFailure = transfer_failure::None;
   verdict mVerdict = verdict::Ran;
-  /// The backend server's status; 0 when no head came.
+  /// The status of the backend server's answer; 0 when no head arrived.
   std::uint16_t mStatus = 0;
   std::string mContentType;
-  /// The answer, unless its pieces were passed on while they came in.
+  /// The answer's body, without what was forwarded in pieces.
   std::string mBody;
-  /// Bytes already passed on; after the first one nothing can be retried
-  /// without resuming.
+  /// Bytes already forwarded; once there are any, the call can only be resumed,
+  /// not retried from the start.
   std::uint64_t mForwardedBytes = 0;
-  /// Events of an event stream already passed on.
+  /// Events of an event stream already forwarded.
   std::uint64_t mForwardedEvents = 0;
-  /// The events passed on, when the attempt was to keep them.
+  /// The events forwarded, when event_recording was on.
   std::string mRecorded;
   std::optional<token_usage> mUsage;
-  /// When the answer's first byte came; nothing when none did.
+  /// When the answer's first byte arrived; nothing when none did.
   std::optional<instant> mFirstByte;
   instant mEnd;
 };
--- a/Libraries/LibUpstream/UpstreamHead.h
+++ b/Libraries/LibUpstream/UpstreamHead.h
@@ -8,7 +8,7 @@
 
 namespace lycheeseam {
 
-/// The beginning of an answer that is passed on while it comes in.
+/// The status and content type of an answer that is forwarded in pieces.
 struct upstream_head
 {
   call_number mCall;
--- a/Libraries/LibUpstream/UpstreamLoop.h
+++ b/Libraries/LibUpstream/UpstreamLoop.h
@@ -19,9 +19,9 @@
 
 namespace lycheeseam {
 
-/// Runs attempts at backend servers on a thread of its own, over one libcurl
-/// multi handle. What several transfers bring in one turn of the loop is
-/// passed on once per transfer.
+/// Runs attempts at backend servers on a thread of its own, with one libcurl
+/// multi handle. In each iteration of its loop it forwards the bytes received
+/// by a transfer as one piece.
 template<typename Sink>
 class upstream_loop
 {
@@ -33,15 +33,15 @@
     , mCommands(multi_wake{ mMulti })
     , mThread([this]() { Run(); })
   {
-    // Checked here, since the sink's class holds this one and isn't complete
-    // before.
+    // Checked here, since the sink's class has a member of this type and is
+    // incomplete before.
     static_assert(upstream_sink<Sink>);
   }
 
   upstream_loop(upstream_loop const&) = delete;
   upstream_loop& operator=(upstream_loop const&) = delete;
 
-  /// Ends all attempts without telling the sink, then joins the thread.
+  /// Joins the thread, then ends all attempts without calling the sink.
   ~upstream_loop()
   {
     mStopping = true;
@@ -53,7 +53,7 @@
     curl_multi_cleanup(mMulti);
   }
 
-  /// Asks something of the loop; safe from any thread.
+  /// Posts a command to the loop; safe from any thread.
   void Post(upstream_command aCommand) { mCommands.Post(std::move(aCommand)); }
 
 private:
@@ -71,7 +71,7 @@
     while (!mStopping) {
       int running = 0;
       curl_multi_perform(mMulti, &running);
-      PassOnPieces();
+      ForwardPieces();
       FinishTransfers();
       EndOverdue();
       curl_multi_poll(mMulti, nullptr, 0, PollTimeout(), nullptr);
@@ -104,14 +104,14 @@
       found->second->SetFlow(aChange.mFlow);
   }
 
-  void PassOnPieces()
+  void ForwardPieces()
   {
     for (transfer* const received : mReceived)
-      PassOn(*received);
+      Forward(*received);
     mReceived.clear();
   }
 
-  void PassOn(transfer& aTransfer)
+  void Forward(transfer& aTransfer)
   {
     std::optional<upstream_head> head = aTransfer.TakeHead();
     if (head)
@@ -123,8 +123,9 @@
 
   void FinishTransfers()
   {
-    int left = 0;
-    while (CURLMsg const* const message = curl_multi_info_read(mMulti, &left)) {
+    int remaining = 0;
+    while (CURLMsg const* const message =
+             curl_multi_info_read(mMulti, &remaining)) {
       if (message->msg != CURLMSG_DONE)
         continue;
       transfer* finished = nullptr;
@@ -134,8 +135,8 @@
     }
   }
 
-  // Ends transfers whose first byte is overdue. Entries of transfers that
-  // have got theirs are dropped here rather than searched for earlier.
+  // Ends transfers whose first byte is overdue. A transfer that has its first
+  // byte keeps its entry until the deadline, so that no entry is searched for.
   void EndOverdue()
   {
     instant const now = mClock.Now();
@@ -144,35 +145,35 @@
       mDeadlines.erase(mDeadlines.begin());
       if (found == mTransfers.end())
         continue;
-      transfer const& late = *found->second;
-      if (late.IsWaiting() && late.FirstByteDeadline() <= now)
+      transfer const& overdue = *found->second;
+      if (overdue.IsWaiting() && overdue.FirstByteDeadline() <= now)
         End(found, CURLE_OK, transfer_failure::FirstByteTimeout);
     }
   }
 
-  void End(typename transfer_map::iterator aPlace,
+  void End(typename transfer_map::iterator aEntry,
            CURLcode aResult,
            transfer_failure aFailure)
   {
-    std::unique_ptr<transfer> const ended = std::move(aPlace->second);
-    mTransfers.erase(aPlace);
-    PassOn(*ended);
+    std::unique_ptr<transfer> const ended = std::move(aEntry->second);
+    mTransfers.erase(aEntry);
+    Forward(*ended);
     std::erase(mReceived, ended.get());
     curl_multi_remove_handle(mMulti, ended->Handle());
     mSink.OnEnd(ended->Finish(aResult, aFailure, mClock.Now()));
   }
 
-  // Wakes in time for the earliest first-byte deadline.
+  // In milliseconds, up to the earliest first-byte deadline.
   int PollTimeout()
   {
-    static constexpr std::chrono::milliseconds kLongest{ 60'000 };
+    static constexpr std::chrono::milliseconds kMaxWait{ 60'000 };
     if (mDeadlines.empty())
-      return static_cast<int>(kLongest.count());
+      return static_cast<int>(kMaxWait.count());
     std::chrono::milliseconds const wait =
       std::chrono::ceil<std::chrono::milliseconds>(mDeadlines.begin()->first -
                                                    mClock.Now());
     std::chrono::milliseconds const bounded =
-      std::clamp(wait, std::chrono::milliseconds{ 0 }, kLongest);
+      std::clamp(wait, std::chrono::milliseconds{ 0 }, kMaxWait);
     return static_cast<int>(bounded.count());
   }
 
--- a/Libraries/LibUpstream/UpstreamPiece.h
+++ b/Libraries/LibUpstream/UpstreamPiece.h
@@ -7,7 +7,7 @@
 
 namespace lycheeseam {
 
-/// The next bytes of an answer that is passed on while it comes in.
+/// The next bytes of an answer that is forwarded in pieces.
 struct upstream_piece
 {
   call_number mCall;
--- a/Libraries/LibUpstream/UpstreamRequest.h
+++ b/Libraries/LibUpstream/UpstreamRequest.h
@@ -12,23 +12,23 @@
 
 namespace lycheeseam {
 
-/// Whether an attempt begins its call's answer or goes on with one whose
-/// backend server was lost.
+/// Whether an attempt begins its call's answer or continues one whose backend
+/// server failed.
 enum class answer_position
 {
   Start,
   Continuation,
 };
 
-/// Whether the events passed on are kept, so that another backend server can
-/// go on behind them.
+/// Whether the forwarded events are recorded, so that another backend server
+/// can continue after them.
 enum class event_recording
 {
   Off,
-  Kept,
+  On,
 };
 
-/// One attempt of a call at one backend server.
+/// Starts one attempt of a call at one backend server.
 struct upstream_request
 {
   call_number mCall;
--- a/Libraries/LibUpstream/UpstreamSink.h
+++ b/Libraries/LibUpstream/UpstreamSink.h
@@ -8,8 +8,8 @@
 
 namespace lycheeseam {
 
-/// Who takes what a transfer brings, on the loop's thread. An attempt gives
-/// at most one head, then pieces in order, then exactly one end.
+/// Receives the results of attempts, on the thread of the upstream_loop. An
+/// attempt gives at most one head, then pieces in order, then exactly one end.
 template<typename Sink>
 concept upstream_sink = requires(Sink& aSink,
                                  upstream_head aHead,
