--- a/Libraries/LibFront/CallSink.h
+++ b/Libraries/LibFront/CallSink.h
@@ -8,14 +8,16 @@
 
 namespace lycheeseam {
 
-/// How fast a caller takes its answer.
+/// Whether a caller reads its answer as fast as it is written.
 enum class caller_pace
 {
   Slow,
-  Keeping,
+  KeepingUp,
 };
 
-/// Who takes what callers do, on the front workers' threads.
+/// Receives callers' requests and the changes of their connections, on the
+/// threads of the front workers. The two bodies are JSON for GET requests that
+/// the front workers answer themselves.
 template<typename Sink>
 concept call_sink = requires(Sink& aSink,
                              caller_request aRequest,
--- a/Libraries/LibFront/CallerAnswer.cpp
+++ b/Libraries/LibFront/CallerAnswer.cpp
@@ -62,9 +62,9 @@
 }
 
 void
-caller_answer::SendWhole(std::uint16_t aStatus,
-                         std::string_view aContentType,
-                         std::string const& aBody)
+caller_answer::SendComplete(std::uint16_t aStatus,
+                            std::string_view aContentType,
+                            std::string const& aBody)
 {
   if (!IsConnected())
     return;
@@ -80,23 +80,24 @@
   if (mStream)
     SendRefusalEvent(aRefusal);
   else
-    SendRefusalWhole(aRefusal);
+    SendRefusalAnswer(aRefusal);
 }
 
 void
-caller_answer::SendRefusalWhole(refusal const& aRefusal)
+caller_answer::SendRefusalAnswer(refusal const& aRefusal)
 {
   AddHeader("Lycheeseam-Verdict",
             std::string{ VerdictName(aRefusal.mVerdict) });
   if (aRefusal.mRetryAfter)
     AddHeader("Retry-After", std::to_string(aRefusal.mRetryAfter->count()));
-  SendWhole(RefusalStatus(aRefusal.mCode),
-            "application/json",
-            FormatRefusal(aRefusal, mRequest));
+  SendComplete(RefusalStatus(aRefusal.mCode),
+               "application/json",
+               FormatRefusal(aRefusal, mRequest));
 }
 
-// A broken stream must not look complete. An event stream says what happened
-// and lacks its "[DONE]"; any other stream lacks its last chunk.
+// A stream that failed must not look complete to the caller. An event stream
+// ends with the error and without "[DONE]"; any other stream lacks its last
+// chunk.
 void
 caller_answer::SendRefusalEvent(refusal const& aRefusal)
 {
@@ -137,7 +138,8 @@
   mTransport.asyncWrite(peer->fd(), Pistache::RawBuffer(std::move(chunk), size))
     .then([release](ssize_t) { release(); },
           [release](std::exception_ptr const&) { release(); });
-  // Written while the peer is held, so that the descriptor is still its own.
+  // Flushes while the peer is held: once it is released, its file descriptor
+  // may belong to another connection.
   mTransport.flush();
 }
 
--- a/Libraries/LibFront/CallerAnswer.h
+++ b/Libraries/LibFront/CallerAnswer.h
@@ -16,7 +16,8 @@
 
 namespace lycheeseam {
 
-/// Writes one caller's answer. Used on the caller's worker thread only.
+/// Writes the answer to one call. Used on the thread of the caller's front
+/// worker only.
 class caller_answer : public std::enable_shared_from_this<caller_answer>
 {
 public:
@@ -24,13 +25,13 @@
                 Pistache::Tcp::Transport& aTransport,
                 request_id aRequest);
 
-  /// Sends a whole answer; may only come first.
-  void SendWhole(std::uint16_t aStatus,
-                 std::string_view aContentType,
-                 std::string const& aBody);
+  /// Sends a complete answer; not allowed once a streamed answer has begun.
+  void SendComplete(std::uint16_t aStatus,
+                    std::string_view aContentType,
+                    std::string const& aBody);
 
-  /// Sends an error: as the answer, or as the last event of a stream that
-  /// has begun.
+  /// Sends an error: as the answer, or as the last event of an event stream
+  /// that has begun. Any other stream is cut off by closing the connection.
   void SendRefusal(refusal const& aRefusal);
 
   /// Begins a streamed answer.
@@ -42,13 +43,13 @@
   /// Ends a streamed answer.
   void End();
 
-  /// False once the caller has gone; writes do nothing from then on.
+  /// False once the caller is disconnected; writes do nothing from then on.
   [[nodiscard]] bool IsConnected() const;
 
-  /// Calls back whenever all bytes handed to the transport are taken.
+  /// Sets a callback that runs whenever no unsent bytes are left.
   void SetDrainedCallback(std::function<void()> aCallback);
 
-  /// Bytes handed to the transport and not yet taken by the kernel.
+  /// Bytes written to the transport that the kernel hasn't accepted yet.
   [[nodiscard]] std::size_t UnsentBytes() const noexcept
   {
     return mUnsentBytes;
@@ -57,7 +58,7 @@
 private:
   void AddHeader(std::string aName, std::string aValue);
   void AddCommonHeaders(std::string_view aContentType);
-  void SendRefusalWhole(refusal const& aRefusal);
+  void SendRefusalAnswer(refusal const& aRefusal);
   void SendRefusalEvent(refusal const& aRefusal);
   void Disconnect();
   void Release(std::size_t aBytes);
--- a/Libraries/LibFront/DecodeCall.cpp
+++ b/Libraries/LibFront/DecodeCall.cpp
@@ -11,8 +11,9 @@
 
 using Pistache::Http::Request;
 
-// What may go on to a backend server. It is a list of what is allowed, since
-// a list of what isn't would let the next way to send a key through.
+// The header fields that are forwarded to a backend server. This is an allow
+// list, since a deny list would let any new header field that carries a key
+// through.
 constexpr std::array kForwardedHeaders{
   "Accept",     "Accept-Language", "Content-Type",      "Idempotency-Key",
   "If-Match",   "If-None-Match",   "If-Modified-Since", "Range",
@@ -31,7 +32,7 @@
 }
 
 std::optional<digest>
-KeyOf(Request const& aRequest)
+KeyDigestOf(Request const& aRequest)
 {
   std::string const authorization = HeaderValue(aRequest, "Authorization");
   if (!authorization.starts_with(kBearer))
@@ -46,7 +47,7 @@
   if (value.empty())
     return std::nullopt;
   if (value.size() > kMaxIdempotencyKeyBytes)
-    throw invalid_input("an Idempotency-Key has at most 255 bytes");
+    throw invalid_input("the Idempotency-Key is longer than 255 bytes");
   return idempotency_key{ std::move(value) };
 }
 
@@ -86,7 +87,7 @@
     .mTarget = aRequest.resource() + aRequest.query().as_str(),
     .mHeaders = ForwardedHeaders(aRequest),
     .mBody = std::make_shared<std::string const>(aRequest.body()),
-    .mKey = KeyOf(aRequest),
+    .mKey = KeyDigestOf(aRequest),
     .mIdempotencyKey = IdempotencyKeyOf(aRequest),
     .mTraceparent = HeaderValue(aRequest, "traceparent"),
     .mArrival = system_clock{}.Now(),
@@ -95,7 +96,7 @@
   if (!IsCompletion(aRequest))
     return call;
   if (aRequest.method() != Pistache::Http::Method::Post)
-    throw invalid_input("completions are asked for with POST");
+    throw invalid_input("the method of a completion request is not POST");
   call.mKind = call_kind::Completion;
   call.mCompletion = ParseCompletion(*call.mBody);
   return call;
--- a/Libraries/LibFront/DecodeCall.h
+++ b/Libraries/LibFront/DecodeCall.h
@@ -9,11 +9,11 @@
 
 namespace lycheeseam {
 
-/// A decoded request, or why it can't be one.
+/// A decoded request, or the refusal of an invalid one.
 using decoded_call = std::variant<caller_request, refusal>;
 
-/// Turns an HTTP request into the form that decisions read. The caller's key
-/// is replaced by its digest here and goes no further.
+/// Decodes an HTTP request of a caller. Only the digest of the caller's key is
+/// kept, not the key.
 decoded_call
 DecodeCall(Pistache::Http::Request const& aRequest,
            call_number aCall,
--- a/Libraries/LibFront/FrontHandler.h
+++ b/Libraries/LibFront/FrontHandler.h
@@ -7,8 +7,9 @@
 
 namespace lycheeseam {
 
-/// Ties Pistache to the front workers. Pistache copies its handler once for
-/// each worker thread, and each copy has that thread's state.
+/// Pistache's handler for callers' connections. Pistache copies it once for
+/// each worker thread, and each copy adds a front_worker with that thread's
+/// state.
 template<typename Sink>
 class front_handler : public Pistache::Http::Handler
 {
--- a/Libraries/LibFront/FrontMessage.h
+++ b/Libraries/LibFront/FrontMessage.h
@@ -31,7 +31,7 @@
   call_number mCall;
 };
 
-/// A whole answer of a backend server.
+/// A complete answer of a backend server.
 struct front_answer
 {
   call_number mCall;
@@ -40,14 +40,15 @@
   std::string mBody;
 };
 
-/// Answers with an error; a stream that has begun ends with it as an event.
+/// Answers with an error; an event stream that has begun ends with it as an
+/// event.
 struct front_refusal
 {
   call_number mCall;
   refusal mRefusal;
 };
 
-/// Anything that other threads tell a front worker.
+/// Any message that other threads post to a front worker.
 using front_message =
   std::variant<front_head, front_piece, front_end, front_answer, front_refusal>;
 
--- a/Libraries/LibFront/FrontOptions.h
+++ b/Libraries/LibFront/FrontOptions.h
@@ -6,17 +6,19 @@
 
 namespace lycheeseam {
 
-/// How callers are served.
+/// The options of a front_server.
 struct front_options
 {
   endpoint mListen;
-  /// The threads that serve callers.
+  /// The number of threads that serve callers.
   int mWorkers = 2;
   /// The largest request, headers included, in bytes.
   std::size_t mMaxRequestBytes = 8UL * 1024 * 1024;
-  /// A caller with more unsent bytes than this pauses its backend server.
+  /// While an answer has more unsent bytes than this, reading from its backend
+  /// server is paused.
   std::size_t mMaxUnsentBytes = 256UL * 1024;
-  /// Starts request ids, so that they are unique over instances and lives.
+  /// The prefix of request ids, which makes them unique over all instances and
+  /// incarnations.
   std::string mRequestIdPrefix;
 };
 
--- a/Libraries/LibFront/FrontServer.h
+++ b/Libraries/LibFront/FrontServer.h
@@ -10,20 +10,20 @@
 
 namespace lycheeseam {
 
-/// Serves callers over HTTP on threads of its own.
+/// The HTTP server for callers; it runs front workers on threads of its own.
 template<typename Sink>
 class front_server
 {
 public:
-  /// Listens and serves at once. The sink outlives the server.
+  /// Starts to listen and to serve. The sink outlives the server.
   front_server(Sink& aSink, front_options aOptions)
     : mOptions(std::move(aOptions))
     , mWorkers(aSink, mOptions)
     , mEndpoint(Pistache::Address(mOptions.mListen.mAddress,
                                   Pistache::Port(mOptions.mListen.mPort)))
   {
-    // Checked here, since the sink's class holds this one and isn't complete
-    // before.
+    // Checked here, since the sink's class has a member of this type and is
+    // incomplete before.
     static_assert(call_sink<Sink>);
     Pistache::Tcp::Options const flags = Pistache::Tcp::Options::ReuseAddr;
     mEndpoint.init(Pistache::Http::Endpoint::options()
@@ -35,17 +35,17 @@
     mEndpoint.serveThreaded();
   }
 
-  /// Cuts what is still open; callers are drained before.
+  /// Closes the connections that are still open; drain the callers before.
   ~front_server() { mEndpoint.shutdown(); }
 
   front_server(front_server const&) = delete;
   front_server& operator=(front_server const&) = delete;
 
-  /// Tells a call's worker something; safe from any thread.
+  /// Posts a message to the worker of its call; safe from any thread.
   void Post(front_message aMessage) { mWorkers.Post(std::move(aMessage)); }
 
 private:
-  // Pistache bounds the buffer in which it builds an answer.
+  // Pistache limits the buffer in which it builds an answer to this size.
   static constexpr std::size_t kMaxAnswerBytes = 64UL * 1024 * 1024;
 
   front_options mOptions;
--- a/Libraries/LibFront/FrontWorker.h
+++ b/Libraries/LibFront/FrontWorker.h
@@ -19,13 +19,13 @@
 
 namespace lycheeseam {
 
-/// The state of one Pistache worker thread: its callers and their open
-/// calls. All but Post runs on that thread.
+/// The state of one Pistache worker thread: its callers' connections and their
+/// open calls. All functions but Post run on that thread.
 template<typename Sink>
 class front_worker
 {
 public:
-  /// A call's number holds its worker's index in the upper bits.
+  /// The bits of a call's number from this one on are the index of its worker.
   static constexpr unsigned kIndexShift = 48;
 
   front_worker(Sink& aSink, front_options const& aOptions, std::size_t aIndex)
@@ -36,10 +36,11 @@
   {
   }
 
-  /// Tells the worker something; safe from any thread.
+  /// Posts a message to the worker; safe from any thread.
   void Post(front_message aMessage) { mMessages.Post(std::move(aMessage)); }
 
-  /// Takes a caller's request; its answer is written later.
+  /// Handles a caller's request: refuses or answers it at once, or passes it to
+  /// the sink and writes the answer when messages bring it.
   void OnRequest(Pistache::Http::Request const& aRequest,
                  Pistache::Http::ResponseWriter aWriter,
                  Pistache::Tcp::Transport& aTransport)
@@ -51,7 +52,7 @@
     std::shared_ptr<Pistache::Tcp::Peer> const peer = aWriter.getPeer();
     std::shared_ptr<caller_answer> answer =
       std::make_shared<caller_answer>(std::move(aWriter), aTransport, id);
-    if (!peer || AnswerAtOnce(aRequest, *answer))
+    if (!peer || AnswerDirectly(aRequest, *answer))
       return;
     decoded_call decoded = DecodeCall(aRequest, number, id);
     if (refusal const* const refused = std::get_if<refusal>(&decoded)) {
@@ -65,7 +66,7 @@
     Begin(peer->getID(), std::get<caller_request>(std::move(decoded)));
   }
 
-  /// Takes note that a connection has closed.
+  /// Ends the calls of a connection that was closed.
   void OnDisconnection(std::size_t aPeer)
   {
     auto const found = mConnections.find(aPeer);
@@ -73,7 +74,7 @@
       return;
     connection const closed = std::move(found->second);
     mConnections.erase(found);
-    Forget(closed.mRunning);
+    Discard(closed.mRunning);
     for (caller_request const& waiting : closed.mWaiting)
       mCalls.erase(waiting.mCall);
   }
@@ -89,11 +90,11 @@
   {
     std::size_t mPeer;
     std::shared_ptr<caller_answer> mAnswer;
-    caller_pace mPace = caller_pace::Keeping;
+    caller_pace mPace = caller_pace::KeepingUp;
   };
 
-  // Answers on one connection go out in the order of their requests, so that
-  // a request waits until the one before it has its answer.
+  // Answers on one connection are sent in the order of the requests, so a
+  // request waits until the one before it is answered.
   struct connection
   {
     call_number mRunning;
@@ -108,17 +109,17 @@
     mWake.Start(aTransport, [this]() { HandleMessages(); });
   }
 
-  bool AnswerAtOnce(Pistache::Http::Request const& aRequest,
-                    caller_answer& aAnswer)
+  bool AnswerDirectly(Pistache::Http::Request const& aRequest,
+                      caller_answer& aAnswer)
   {
     if (aRequest.method() != Pistache::Http::Method::Get)
       return false;
     if (aRequest.resource() == "/v1/models") {
-      aAnswer.SendWhole(200, "application/json", mSink.ModelsBody());
+      aAnswer.SendComplete(200, "application/json", mSink.ModelsBody());
       return true;
     }
     if (aRequest.resource() == "/v1/instances") {
-      aAnswer.SendWhole(200, "application/json", mSink.InstancesBody());
+      aAnswer.SendComplete(200, "application/json", mSink.InstancesBody());
       return true;
     }
     return false;
@@ -126,12 +127,12 @@
 
   void Begin(std::size_t aPeer, caller_request aRequest)
   {
-    auto const [place, isNew] = mConnections.try_emplace(aPeer);
+    auto const [entry, isNew] = mConnections.try_emplace(aPeer);
     if (!isNew) {
-      place->second.mWaiting.push_back(std::move(aRequest));
+      entry->second.mWaiting.push_back(std::move(aRequest));
       return;
     }
-    place->second.mRunning = aRequest.mCall;
+    entry->second.mRunning = aRequest.mCall;
     mSink.OnCall(std::move(aRequest));
   }
 
@@ -163,7 +164,8 @@
   void Handle(front_answer& aAnswer)
   {
     Write(aAnswer.mCall, [&aAnswer](caller_answer& aWriter) {
-      aWriter.SendWhole(aAnswer.mStatus, aAnswer.mContentType, aAnswer.mBody);
+      aWriter.SendComplete(
+        aAnswer.mStatus, aAnswer.mContentType, aAnswer.mBody);
     });
     Finish(aAnswer.mCall);
   }
@@ -176,9 +178,9 @@
     Finish(aRefusal.mCall);
   }
 
-  // A message for a call that has ended finds nothing: that is how late
-  // pieces are kept from other callers. A write to a caller that has just
-  // gone throws in the library.
+  // A message for a call that has ended is dropped, so that late pieces never
+  // reach another caller. Pistache throws on a write to a caller that has just
+  // disconnected.
   template<typename Action>
   void Write(call_number aCall, Action const& aAction)
   {
@@ -189,7 +191,7 @@
     try {
       aAction(*answer);
     } catch (std::exception const&) {
-      Forget(aCall);
+      Discard(aCall);
       return;
     }
     UpdatePace(aCall);
@@ -206,7 +208,7 @@
     if (unsent > mOptions.mMaxUnsentBytes)
       pace = caller_pace::Slow;
     if (unsent == 0)
-      pace = caller_pace::Keeping;
+      pace = caller_pace::KeepingUp;
     if (pace == call.mPace)
       return;
     call.mPace = pace;
@@ -239,7 +241,7 @@
     mSink.OnCall(std::move(next));
   }
 
-  void Forget(call_number aCall)
+  void Discard(call_number aCall)
   {
     if (mCalls.erase(aCall) != 0)
       mSink.OnCallerDisconnected(aCall);
--- a/Libraries/LibFront/FrontWorkers.h
+++ b/Libraries/LibFront/FrontWorkers.h
@@ -8,7 +8,8 @@
 
 namespace lycheeseam {
 
-/// All front workers; hands a message to the worker that its call is on.
+/// The collection of all front workers; routes each message to the worker of
+/// its call.
 template<typename Sink>
 class front_workers
 {
@@ -19,7 +20,7 @@
   {
   }
 
-  /// Makes the state of one more worker; it lives as long as this does.
+  /// Adds a worker; it exists as long as this collection.
   front_worker<Sink>& Add()
   {
     std::lock_guard const lock{ mMutex };
@@ -29,7 +30,7 @@
     return *mWorkers.back();
   }
 
-  /// Tells a call's worker something; safe from any thread.
+  /// Posts a message to the worker of its call; safe from any thread.
   void Post(front_message aMessage)
   {
     call_number const call =
--- a/Libraries/LibFront/TextHeader.h
+++ b/Libraries/LibFront/TextHeader.h
@@ -7,7 +7,8 @@
 
 namespace lycheeseam {
 
-/// A response header with any name. Pistache writes typed headers only.
+/// A header field with any name, for an answer. Pistache itself writes only
+/// header fields that have a type of their own.
 class text_header : public Pistache::Http::Header::Header
 {
 public:
--- a/Libraries/LibFront/WorkerWake.cpp
+++ b/Libraries/LibFront/WorkerWake.cpp
@@ -10,16 +10,16 @@
 
 namespace {
 
-constexpr std::chrono::hours kFarAhead{ 1 };
-constexpr long kAtOnceNanoseconds = 1;
+constexpr std::chrono::hours kIdleDelay{ 1 };
+constexpr long kMinDelayNanoseconds = 1;
 
 void
-FireAtOnce(int aTimer)
+FireNow(int aTimer)
 {
-  itimerspec const soon{ .it_interval = {},
-                         .it_value = { .tv_sec = 0,
-                                       .tv_nsec = kAtOnceNanoseconds } };
-  timerfd_settime(aTimer, 0, &soon, nullptr);
+  itimerspec const immediate{ .it_interval = {},
+                              .it_value = { .tv_sec = 0,
+                                            .tv_nsec = kMinDelayNanoseconds } };
+  timerfd_settime(aTimer, 0, &immediate, nullptr);
 }
 
 }
@@ -44,24 +44,26 @@
 {
   std::lock_guard const lock{ mMutex };
   if (mTimer < 0) {
-    // The worker hasn't started yet; Arm will find the wish.
+    // The worker hasn't started yet; Arm carries out the pending wake.
     mIsPending = true;
     return;
   }
-  FireAtOnce(mTimer);
+  FireNow(mTimer);
 }
 
-// A timer that has fired can't be armed again: its registration with the
-// worker's poller stays. Each round takes a new one and closes the old one.
+// Pistache can't arm a timer again once it has fired, since the worker's poller
+// keeps its registration. So each wake creates a new timer and closes the old
+// one.
 void
 worker_wake::Arm()
 {
   int const timer = timerfd_create(CLOCK_MONOTONIC, TFD_NONBLOCK | TFD_CLOEXEC);
   if (timer < 0)
-    throw error("no timer for a front worker: out of file descriptors");
+    throw error(
+      "can't create the timer of a front worker: no file descriptors left");
   Pistache::Async::Promise<std::uint64_t> fired(
     [this, timer](Pistache::Async::Deferred<std::uint64_t> aDeferred) {
-      mTransport->armTimer(timer, kFarAhead, std::move(aDeferred));
+      mTransport->armTimer(timer, kIdleDelay, std::move(aDeferred));
     });
   fired.then([this](std::uint64_t) { OnTimer(); },
              [](std::exception_ptr const&) {});
@@ -71,7 +73,7 @@
   if (old >= 0)
     close(old);
   if (mIsPending)
-    FireAtOnce(mTimer);
+    FireNow(mTimer);
   mIsPending = false;
 }
 
--- a/Libraries/LibFront/WorkerWake.h
+++ b/Libraries/LibFront/WorkerWake.h
@@ -9,9 +9,10 @@
 
 /// Wakes a Pistache worker from another thread.
 ///
-/// A worker offers no hook for foreign work, but it runs timers: this arms a
-/// timer far ahead and, on a wake, sets it to fire at once. The callback runs
-/// on the worker's own thread, the only one that may write to its callers.
+/// A worker can't be given work from another thread, but it runs timers. This
+/// class arms a timer with a long delay and, on a wake, makes it fire at once.
+/// The callback runs on the worker's own thread, the only one that may write to
+/// its callers.
 class worker_wake
 {
 public:
@@ -20,11 +21,12 @@
   worker_wake& operator=(worker_wake const&) = delete;
   ~worker_wake();
 
-  /// Arms the timer on the worker's transport; called on its thread, once.
+  /// Arms the timer on the worker's transport; called once, on the worker's
+  /// thread. Throws error when there are no file descriptors left.
   void Start(Pistache::Tcp::Transport& aTransport,
              std::function<void()> aCallback);
 
-  /// Runs the callback soon on the worker's thread; safe from any thread.
+  /// Makes the worker's thread run the callback; safe from any thread.
   void Wake();
 
 private:
