--- a/Libraries/LibControl/RequestDirector.h
+++ b/Libraries/LibControl/RequestDirector.h
@@ -2,11 +2,11 @@
 
 #include <LibConfig/ConfigTables.h>
 #include <LibControl/AttemptRules.h>
-#include <LibControl/CallBook.h>
 #include <LibControl/CallMeter.h>
+#include <LibControl/CallTable.h>
 #include <LibControl/ControlMessage.h>
 #include <LibControl/ControlPorts.h>
-#include <LibControl/DirectorParts.h>
+#include <LibControl/DirectorDependencies.h>
 #include <LibControl/InstanceView.h>
 #include <LibControl/MakeCall.h>
 #include <LibControl/MakeUpstreamRequest.h>
--- a/Tests/LibControl/TestRequestDirector.cpp
+++ b/Tests/LibControl/TestRequestDirector.cpp
@@ -1,5 +1,5 @@
+#include "HealthyView.h"
 #include "RecordingPorts.h"
-#include "SteadyView.h"
 #include <LibControl/RequestDirector.h>
 #include <LibPlacement/RoundRobinPolicy.h>
 
