--- a/Libraries/LibControl/AttemptResult.h
+++ b/Libraries/LibControl/AttemptResult.h
@@ -2,14 +2,15 @@
 
 namespace lycheeseam {
 
-/// What an attempt's end says about its backend server.
+/// What the end of an attempt shows about its backend server.
 enum class attempt_result
 {
-  /// It answered, be it with an error.
+  /// The server answered; the answer may be an error.
   Answered,
-  /// It was lost: refused, cut or silent past its timeout.
-  Lost,
-  /// The attempt was ended from this side; it says nothing.
+  /// The connection was refused or broke, or the server did not answer within
+  /// the timeout.
+  Failed,
+  /// This instance ended the attempt, which shows nothing about the server.
   Cancelled,
 };
 
--- a/Libraries/LibControl/AttemptRules.cpp
+++ b/Libraries/LibControl/AttemptRules.cpp
@@ -8,18 +8,20 @@
   if (aEnd.mFailure == transfer_failure::Cancelled)
     return attempt_result::Cancelled;
   return aEnd.mFailure == transfer_failure::None ? attempt_result::Answered
-                                                 : attempt_result::Lost;
+                                                 : attempt_result::Failed;
 }
 
-// A stream is resumed once: its caller waits through a second start, and a
-// request that loses two servers may be what loses them.
+// A stream is resumed only once: each resumption makes its caller wait for
+// another start, and a request on which two servers failed may be the cause of
+// the failures.
 bool
 MayResume(call_state const& aCall, upstream_end const& aEnd)
 {
-  bool const isLost = aEnd.mFailure == transfer_failure::ConnectionLost ||
-                      aEnd.mFailure == transfer_failure::Stalled;
+  bool const isInterrupted =
+    aEnd.mFailure == transfer_failure::ConnectionLost ||
+    aEnd.mFailure == transfer_failure::Stalled;
   bool const isOpen = aEnd.mForwardedBytes > 0 && !aCall.mIsAbandoned;
-  return isLost && isOpen && aCall.mLost.empty() &&
+  return isInterrupted && isOpen && aCall.mFailedServers.empty() &&
          aCall.mAdmitted.mRoute.mResume == stream_resume::OtherServer &&
          aCall.mRequest.mKind == call_kind::Completion;
 }
--- a/Libraries/LibControl/AttemptRules.h
+++ b/Libraries/LibControl/AttemptRules.h
@@ -6,28 +6,28 @@
 #include <LibRecords/RequestOutcome.h>
 #include <LibUpstream/UpstreamEnd.h>
 
-/// \file What an attempt's end means for its call.
+/// \file How the end of an attempt affects its call.
 
 namespace lycheeseam {
 
-/// What the end says about the backend server.
+/// Returns what the end shows about the backend server.
 attempt_result
 ResultOf(upstream_end const& aEnd);
 
-/// Whether another backend server may go on with a stream that was lost.
+/// Whether another backend server may continue an interrupted stream.
 bool
 MayResume(call_state const& aCall, upstream_end const& aEnd);
 
-/// What is settled for the call, in tokens: the engine's own count where it
-/// gave one, else what was charged.
+/// The usage to settle for the call, in tokens: 0 if it did not run, else the
+/// engine's own count, or the charge if the engine reported no count.
 token_count
 UsedTokens(call_state const& aCall, upstream_end const& aEnd);
 
-/// The outcome that the call's claim ends with, if it has one.
+/// The outcome to record for the call's claim in the log, if it has one.
 request_outcome
 OutcomeOf(call_state const& aCall, upstream_end const& aEnd);
 
-/// What the call asks the gate for.
+/// The claim that the call requests from the once_gate.
 once_request
 ClaimOf(call_state const& aCall, instant aNow);
 
--- a/Libraries/LibControl/CallMeter.h
+++ b/Libraries/LibControl/CallMeter.h
@@ -8,7 +8,7 @@
 
 namespace lycheeseam {
 
-/// Counts and times calls in the control thread's recorder.
+/// Records counters and latencies of calls in the control thread's recorder.
 class call_meter
 {
 public:
@@ -17,7 +17,7 @@
   {
   }
 
-  /// Adds one to the counter of that metric and label.
+  /// Adds one to the counter with that metric, label and label value.
   void Count(char const* aMetric, char const* aLabel, std::string_view aValue)
   {
     mRecorder.Count(mRecorder.OpenCounter(
@@ -26,7 +26,7 @@
                       .mLabelValue = std::string{ aValue } }));
   }
 
-  /// Records the time from the call's arrival to a moment.
+  /// Records the latency from the call's arrival to the given moment.
   void Record(call_state const& aCall, latency_kind aKind, instant aMoment)
   {
     latency_handle const series =
--- a/Libraries/LibControl/CallPhase.h
+++ b/Libraries/LibControl/CallPhase.h
@@ -2,16 +2,16 @@
 
 namespace lycheeseam {
 
-/// Where an open call stands.
+/// The stage that an open call has reached.
 enum class call_phase
 {
-  /// Waits for the log to say whether it may run.
+  /// Waits for its claim in the log to be granted or refused.
   Claiming,
-  /// Waits for its workspace's tokens.
+  /// Waits for tokens of its workspace's budget.
   Charging,
-  /// Waits for its turn at its pool.
+  /// Waits in its pool's queue.
   Queued,
-  /// An attempt runs at a backend server.
+  /// An attempt runs on a backend server.
   Running,
 };
 
--- a/Libraries/LibControl/CallState.h
+++ b/Libraries/LibControl/CallState.h
@@ -11,7 +11,7 @@
 
 namespace lycheeseam {
 
-/// What control knows of one open call.
+/// The control thread's state of one open call.
 struct call_state
 {
   caller_request mRequest;
@@ -19,32 +19,33 @@
   call_phase mPhase = call_phase::Claiming;
   /// The prompt's blocks; empty for plain calls.
   prefix_chain mChain;
-  /// Tokens charged in advance: the prompt and the largest answer.
+  /// Tokens charged in advance: the prompt and the longest answer.
   token_count mCharged = 0;
   attempt_number mAttempt;
   /// The backend server of the running attempt.
   backend_server mServer;
-  /// True once the caller has the head of a streamed answer.
+  /// True once the head of a streamed answer was forwarded to the caller.
   bool mHasBegun = false;
-  /// The text of a streamed answer whose backend servers were lost.
-  std::string mTextSoFar;
-  /// Of the workspace, method, path and body: equal for repeats.
+  /// The text forwarded by earlier, interrupted attempts of a streamed answer.
+  std::string mForwardedText;
+  /// Digest of workspace, method, target and body; equal for repeats.
   digest mFingerprint;
-  /// Backend servers that were lost under this call.
-  std::set<backend_server_id> mLost;
-  /// True once the workspace's budget has paid for the call.
+  /// Backend servers that failed during this call; retries exclude them.
+  std::set<backend_server_id> mFailedServers;
+  /// True once the call is charged to the workspace's budget.
   bool mIsCharged = false;
-  /// True when the caller has gone and the call runs on for its outcome.
+  /// True when the caller has disconnected and the call only continues so that
+  /// its outcome is recorded.
   bool mIsAbandoned = false;
 
-  /// Whether the call runs under a claim in the log.
+  /// Whether the call needs a claim in the log before it may run.
   [[nodiscard]] bool IsClaimed() const
   {
     return mRequest.mIdempotencyKey.has_value() &&
            mAdmitted.mRoute.mIdempotency == idempotency::NonIdempotent;
   }
 
-  /// The workspace that the call runs for; empty on routes open to all.
+  /// The workspace that the call is charged to; empty on open routes.
   [[nodiscard]] workspace_id Workspace() const
   {
     if (!mAdmitted.mWorkspace)
--- a/Libraries/LibControl/CallTable.h
+++ b/Libraries/LibControl/CallTable.h
@@ -7,35 +7,35 @@
 
 namespace lycheeseam {
 
-/// The open calls, by their numbers and by their requests' ids.
-class call_book
+/// The open calls, indexed by call number and by request id.
+class call_table
 {
 public:
-  /// Adds a call, whose number and id are new.
+  /// Adds a call, whose number and request id must not be in the table yet.
   call_state& Add(call_state aCall)
   {
     call_number const number = aCall.mRequest.mCall;
     mNumbers.emplace(aCall.mRequest.mId, number);
-    auto const [place, isNew] = mCalls.emplace(number, std::move(aCall));
+    auto const [position, isNew] = mCalls.emplace(number, std::move(aCall));
     assert(isNew);
-    return place->second;
+    return position->second;
   }
 
-  /// The call of that number, or null.
+  /// Returns the call with that number, or null.
   [[nodiscard]] call_state* Find(call_number aNumber)
   {
     auto const found = mCalls.find(aNumber);
     return found == mCalls.end() ? nullptr : &found->second;
   }
 
-  /// The call of that request, or null.
+  /// Returns the call of that request, or null.
   [[nodiscard]] call_state* Find(request_id const& aId)
   {
     auto const found = mNumbers.find(aId);
     return found == mNumbers.end() ? nullptr : Find(found->second);
   }
 
-  /// Forgets a call; references to it end here.
+  /// Removes a call and invalidates references to it.
   void Remove(call_state const& aCall)
   {
     call_number const number = aCall.mRequest.mCall;
--- a/Libraries/LibControl/ControlMessage.h
+++ b/Libraries/LibControl/ControlMessage.h
@@ -8,19 +8,19 @@
 
 namespace lycheeseam {
 
-/// A caller has sent a request.
+/// A caller sent a request.
 struct call_opened
 {
   caller_request mRequest;
 };
 
-/// A caller has closed its connection before its answer was complete.
+/// A caller closed its connection before its answer was complete.
 struct caller_disconnected
 {
   call_number mCall;
 };
 
-/// Anything that traffic threads tell control.
+/// A message from a traffic thread to the control thread.
 using control_message =
   std::variant<call_opened, caller_disconnected, upstream_end>;
 
--- a/Libraries/LibControl/ControlPorts.h
+++ b/Libraries/LibControl/ControlPorts.h
@@ -7,7 +7,7 @@
 
 namespace lycheeseam {
 
-/// How control reaches the traffic threads.
+/// Posts messages of the control thread to the traffic threads.
 template<typename Ports>
 concept control_ports = requires(Ports& aPorts,
                                  front_message aMessage,
--- a/Libraries/LibControl/ControlThread.h
+++ b/Libraries/LibControl/ControlThread.h
@@ -7,8 +7,8 @@
 
 namespace lycheeseam {
 
-/// The one thread that holds control state. All of it runs inside this
-/// io_context; other threads reach it by posting.
+/// The single thread that owns the control state. All control work runs inside
+/// its io_context; other threads reach it by posting to the context.
 class control_thread
 {
 public:
@@ -19,10 +19,10 @@
   /// Stops the thread and joins it.
   ~control_thread();
 
-  /// Where control's work is posted, and its timers and links live.
+  /// The context that runs control's work, timers and peer connections.
   [[nodiscard]] boost::asio::io_context& Context() noexcept { return mContext; }
 
-  /// Runs no more work; returns when the thread has ended.
+  /// Stops running work; returns after the thread has ended.
   void Stop();
 
 private:
--- a/Libraries/LibControl/DirectorDependencies.h
+++ b/Libraries/LibControl/DirectorDependencies.h
@@ -7,8 +7,8 @@
 
 namespace lycheeseam {
 
-/// The machines that a director asks on its calls' way; they outlive it.
-struct director_parts
+/// The components that a request_director uses; they must outlive it.
+struct director_dependencies
 {
   fleet_budget& mBudget;
   once_gate& mGate;
--- a/Libraries/LibControl/MakeCall.h
+++ b/Libraries/LibControl/MakeCall.h
@@ -6,8 +6,8 @@
 
 namespace lycheeseam {
 
-/// The state of a call that was admitted to a route: what it is charged, its
-/// prompt's blocks, and the fingerprint that its repeats share.
+/// Returns the state of a call that was admitted to a route, with its charge,
+/// its prompt's blocks and the fingerprint that its repeats share.
 call_state
 MakeCall(caller_request aRequest, admitted_route aAdmitted);
 
--- a/Libraries/LibControl/MakeUpstreamRequest.cpp
+++ b/Libraries/LibControl/MakeUpstreamRequest.cpp
@@ -6,23 +6,24 @@
 
 namespace {
 
-// What was charged is a bound on the answer only if the engine knows it, and
-// a lost stream is gone on with behind what its caller has.
+// An answer stays within its charge only if the engine knows the limit, so the
+// limit is added to the body. A resumed stream continues after the text that
+// its caller already has.
 std::shared_ptr<std::string const>
 BodyOf(call_state const& aCall)
 {
   caller_request const& request = aCall.mRequest;
   bool const isBounded = request.mKind == call_kind::Plain ||
                          request.mCompletion.mMaxTokens.has_value();
-  if (isBounded && aCall.mTextSoFar.empty())
+  if (isBounded && aCall.mForwardedText.empty())
     return request.mBody;
   std::string body = *request.mBody;
   if (!isBounded) {
     token_count const limit = AnswerLimit(request, aCall.mAdmitted.mRoute);
     body = AddMaxTokens(body, limit);
   }
-  if (!aCall.mTextSoFar.empty())
-    body = AddResumeFrom(body, aCall.mTextSoFar);
+  if (!aCall.mForwardedText.empty())
+    body = AddResumeFrom(body, aCall.mForwardedText);
   return std::make_shared<std::string const>(std::move(body));
 }
 
--- a/Libraries/LibControl/MakeUpstreamRequest.h
+++ b/Libraries/LibControl/MakeUpstreamRequest.h
@@ -5,9 +5,9 @@
 
 namespace lycheeseam {
 
-/// The call's next attempt as its backend server gets it: the caller's
-/// headers that may go on, its workspace, priority and request id, and a
-/// bound on the answer's length where the caller set none.
+/// Returns the call's next attempt as its backend server receives it: the
+/// caller's forwardable headers, the workspace, priority and request id, and a
+/// limit on the answer's length if the caller set none.
 upstream_request
 MakeUpstreamRequest(call_state const& aCall);
 
--- a/Libraries/LibControl/PoolRuntime.h
+++ b/Libraries/LibControl/PoolRuntime.h
@@ -17,13 +17,14 @@
 
 namespace lycheeseam {
 
-/// One pool as this instance runs it: the queue before it, and what is known
+/// This instance's state of one pool: its queue, its retry budget and the state
 /// of its backend servers.
 template<placement_policy Policy>
 class pool_runtime
 {
 public:
-  /// Takes the pool's row; servers that are gone get nothing from now on.
+  /// Applies the pool's row. Removed servers get no more requests; a server
+  /// whose address is unchanged keeps its state.
   void Update(pool_row const& aRow)
   {
     std::map<backend_server_id, server_runtime> next;
@@ -40,22 +41,25 @@
     mServers = std::move(next);
   }
 
-  /// The queue before the pool.
+  /// The requests that wait for the pool.
   [[nodiscard]] fair_queue& Queue() noexcept { return mQueue; }
   [[nodiscard]] fair_queue const& Queue() const noexcept { return mQueue; }
 
-  /// What retries may still be spent.
+  /// The budget that limits the share of retries.
   [[nodiscard]] retry_budget& Retries() noexcept { return mRetries; }
 
-  /// The placement policy, for what it learns from answers.
+  /// The placement policy, so that answers can update its state.
   [[nodiscard]] Policy& Placement() noexcept { return mPolicy; }
 
-  /// Admits what the servers have room for, and gives up what waited too
-  /// long.
-  admission_batch Next(instant aNow) { return mQueue.Next(aNow, Room(aNow)); }
+  /// Admits as many queued requests as the servers have capacity for, and
+  /// expires those whose deadline has passed.
+  admission_batch Next(instant aNow)
+  {
+    return mQueue.Next(aNow, FreeCapacity(aNow));
+  }
 
-  /// Chooses a server other than the excluded ones; none when all are full,
-  /// open or excluded.
+  /// Chooses a server other than the excluded ones; none when each one is full,
+  /// excluded or has an open circuit breaker.
   std::optional<placement_choice> Choose(
     placement_request const& aRequest,
     std::set<backend_server_id> const& aExcluded,
@@ -66,7 +70,7 @@
     return mPolicy.Choose(aRequest, candidates, aNow);
   }
 
-  /// The servers as the policy sees them.
+  /// The servers, without the excluded ones, as input to the policy.
   [[nodiscard]] std::vector<placement_candidate> Candidates(
     std::set<backend_server_id> const& aExcluded,
     instant aNow) const
@@ -80,26 +84,27 @@
     return candidates;
   }
 
-  /// The server's row, or null when it has left the pool.
+  /// Returns the server's row, or null when it was removed from the pool.
   [[nodiscard]] backend_server const* Find(backend_server_id const& aId) const
   {
     auto const found = mServers.find(aId);
     return found == mServers.end() ? nullptr : &found->second.mRow;
   }
 
-  /// An attempt starts on a server.
+  /// Records that an attempt was sent to a server.
   void OnSent(backend_server_id const& aId, token_count aUncachedTokens)
   {
     auto const found = mServers.find(aId);
     if (found == mServers.end())
       return;
-    // The choice saw room, and nothing ran in between on this thread.
+    // This can't fail: Choose found free capacity, and nothing else has run on
+    // this thread since.
     bool const acquired = found->second.mWindow.TryAcquire();
     static_cast<void>(acquired);
     found->second.mSentTokens += aUncachedTokens;
   }
 
-  /// An attempt has ended on a server.
+  /// Records the end of an attempt on a server.
   void OnEnded(backend_server_id const& aId,
                attempt_result aResult,
                instant aNow)
@@ -112,11 +117,12 @@
       server.mWindow.Release();
     if (aResult == attempt_result::Answered)
       server.mBreaker.OnSuccess();
-    if (aResult == attempt_result::Lost)
+    if (aResult == attempt_result::Failed)
       server.mBreaker.OnFailure(aNow);
   }
 
-  /// A server has reported its load.
+  /// Records a server's load report. A new incarnation closes the server's
+  /// circuit breaker and starts its slow start.
   void OnLoad(backend_server_id const& aId,
               incarnation aIncarnation,
               server_load const& aLoad,
@@ -137,7 +143,7 @@
     server.mSentTokens = 0;
   }
 
-  /// Whether any server may be sent work now or later.
+  /// Whether the pool has any servers.
   [[nodiscard]] bool HasServers() const noexcept { return !mServers.empty(); }
 
 private:
@@ -165,17 +171,17 @@
     };
   }
 
-  [[nodiscard]] std::size_t Room(instant aNow) const
+  [[nodiscard]] std::size_t FreeCapacity(instant aNow) const
   {
-    std::size_t room = 0;
+    std::size_t capacity = 0;
     for (auto const& [id, server] : mServers) {
       placement_candidate const candidate = MakeCandidate(server, aNow);
       if (!candidate.IsEligible())
         continue;
       bool const isProbe = candidate.mBreaker == breaker_state::HalfOpen;
-      room += isProbe ? 1 : candidate.mWindow - candidate.mOutstanding;
+      capacity += isProbe ? 1 : candidate.mWindow - candidate.mOutstanding;
     }
-    return room;
+    return capacity;
   }
 
   fair_queue mQueue;
--- a/Libraries/LibControl/PoolTable.h
+++ b/Libraries/LibControl/PoolTable.h
@@ -10,12 +10,12 @@
 
 namespace lycheeseam {
 
-/// Every pool as this instance runs it.
+/// This instance's state of every pool, by pool name.
 template<placement_policy Policy>
 class pool_table
 {
 public:
-  /// Takes new tables: pools that are gone get nothing from now on.
+  /// Applies new configuration tables. Removed pools get no more requests.
   void Update(config_tables const& aTables)
   {
     std::erase_if(mPools, [&aTables](auto const& aEntry) {
@@ -29,14 +29,14 @@
     }
   }
 
-  /// The pool that a call runs on. A pool that was deleted meanwhile is there
-  /// again without servers, so that its last calls end as any other.
+  /// Returns the pool that a call runs on. A pool that was removed meanwhile is
+  /// created again without servers, so that its remaining calls end normally.
   pool_runtime<Policy>& Of(call_state const& aCall)
   {
     return mPools[aCall.mAdmitted.mPool.mName];
   }
 
-  /// All pools, to go through.
+  /// Returns all pools, for iteration.
   [[nodiscard]] std::vector<pool_runtime<Policy>*> All()
   {
     std::vector<pool_runtime<Policy>*> all;
@@ -46,7 +46,7 @@
     return all;
   }
 
-  /// The earliest deadline in any queue.
+  /// Returns the earliest deadline in any queue, if any request is queued.
   [[nodiscard]] std::optional<instant> NextDeadline() const
   {
     std::optional<instant> earliest;
--- a/Libraries/LibControl/RequestDirector.h
+++ b/Libraries/LibControl/RequestDirector.h
@@ -24,47 +24,48 @@
 
 namespace lycheeseam {
 
-/// Takes each call from its arrival to its end: route and key, claim, charge,
-/// queue, placement, attempts, answer. Runs on the control thread.
+/// Drives each call through its stages: route and key check, claim in the log,
+/// charge to the workspace's budget, queue, placement, attempts and answer.
+/// Runs on the control thread.
 ///
-/// Whoever feeds the gate or the budget calls Tick afterwards, which takes
-/// their decisions.
+/// Code that passes log entries or messages to the gate or the budget must call
+/// Tick afterwards, which handles their decisions.
 template<control_ports Ports, instance_view View, placement_policy Policy>
 class request_director
 {
 public:
   request_director(Ports& aPorts,
                    View const& aView,
-                   director_parts aParts,
+                   director_dependencies aDependencies,
                    failure_domain aFailureDomain)
     : mPorts(aPorts)
     , mView(aView)
-    , mParts(aParts)
+    , mDependencies(aDependencies)
     , mFailureDomain(std::move(aFailureDomain))
-    , mMeter(aParts.mMetrics)
+    , mMeter(aDependencies.mMetrics)
   {
   }
 
-  /// Takes the tables that decisions are made from.
+  /// Sets the configuration tables that decisions are based on.
   void SetTables(std::shared_ptr<config_tables const> aTables)
   {
     mTables = std::move(aTables);
     mPools.Update(*mTables);
   }
 
-  /// The calls that have no complete answer yet.
+  /// The number of calls that have no complete answer yet.
   [[nodiscard]] std::size_t OpenCalls() const { return mCalls.size(); }
 
-  /// The pools as this instance runs them.
+  /// This instance's state of the pools.
   [[nodiscard]] pool_table<Policy>& Pools() noexcept { return mPools; }
 
-  /// Crashes of backend servers to tell all instances, taken once.
+  /// Takes the crash reports that still have to be sent to all instances.
   [[nodiscard]] std::vector<crash_report> TakeCrashReports()
   {
     return std::exchange(mCrashes, {});
   }
 
-  /// A caller has sent a request.
+  /// Starts a call for a caller's request.
   void Handle(call_opened aOpened, instant aNow)
   {
     call_number const number = aOpened.mRequest.mCall;
@@ -79,7 +80,7 @@
     }
     call_state call = MakeCall(std::move(aOpened.mRequest),
                                std::get<admitted_route>(std::move(decision)));
-    if (mParts.mPoison.IsRefused(aNow, call.mFingerprint)) {
+    if (mDependencies.mPoison.IsRefused(aNow, call.mFingerprint)) {
       Answer(number, PoisonRefusal());
       return;
     }
@@ -87,29 +88,30 @@
     Tick(aNow);
   }
 
-  /// A caller has gone: what it asked for is ended wherever it stands.
-  void Handle(caller_disconnected aGone, instant aNow)
+  /// Ends the call of a disconnected caller in any phase, unless an attempt of a
+  /// claimed call is running.
+  void Handle(caller_disconnected aDisconnected, instant aNow)
   {
-    call_state* const found = mCalls.Find(aGone.mCall);
+    call_state* const found = mCalls.Find(aDisconnected.mCall);
     if (!found)
       return;
     call_state& call = *found;
-    // A claimed booking whose caller hung up still runs to its end, since its
-    // repeat needs the outcome.
+    // A claimed call runs to its end even though its caller disconnected, since
+    // a repeat of the request needs the outcome.
     if (call.mPhase == call_phase::Running && call.IsClaimed()) {
       call.mIsAbandoned = true;
       return;
     }
     bool const wasRunning = call.mPhase == call_phase::Running;
     if (wasRunning) {
-      mPorts.PostUpstream(cancel_transfer{ .mCall = aGone.mCall });
+      mPorts.PostUpstream(cancel_transfer{ .mCall = aDisconnected.mCall });
       mPools.Of(call).OnEnded(
         call.mServer.mId, attempt_result::Cancelled, aNow);
     }
     if (call.mPhase == call_phase::Queued)
-      mPools.Of(call).Queue().Cancel(TicketOf(aGone.mCall));
+      mPools.Of(call).Queue().Cancel(TicketOf(aDisconnected.mCall));
     if (call.mPhase == call_phase::Charging)
-      mParts.mBudget.Cancel(ChargeOf(aGone.mCall));
+      mDependencies.mBudget.Cancel(ChargeOf(aDisconnected.mCall));
     Close(call,
           request_outcome{ .mVerdict = wasRunning ? verdict::MayHaveRun
                                                   : verdict::NotRun },
@@ -118,7 +120,7 @@
     Tick(aNow);
   }
 
-  /// An attempt has ended.
+  /// Resumes, retries or finishes the call whose attempt ended.
   void Handle(upstream_end aEnd, instant aNow)
   {
     call_state* const found = mCalls.Find(aEnd.mCall);
@@ -126,7 +128,7 @@
       return;
     call_state& call = *found;
     mPools.Of(call).OnEnded(call.mServer.mId, ResultOf(aEnd), aNow);
-    NoteCrash(call, aEnd, aNow);
+    RecordCrash(call, aEnd, aNow);
     if (MayResume(call, aEnd))
       Resume(call, aEnd, aNow);
     else if (MayRetry(call, aEnd, aNow))
@@ -136,29 +138,30 @@
     Tick(aNow);
   }
 
-  /// Takes the decisions that are due in the gate, the budget and the queues.
+  /// Handles the decisions that are due in the gate, the budget and the queues.
   void Tick(instant aNow)
   {
-    mParts.mGate.Tick(aNow, [this](instance_identity const& aIdentity) {
+    mDependencies.mGate.Tick(aNow, [this](instance_identity const& aIdentity) {
       return mView.IsAlive(aIdentity);
     });
-    for (once_decision& decision : mParts.mGate.TakeDecisions())
+    for (once_decision& decision : mDependencies.mGate.TakeDecisions())
       OnClaimed(decision, aNow);
-    mParts.mBudget.Tick(aNow);
-    for (charge_decision const& decision : mParts.mBudget.TakeDecisions())
+    mDependencies.mBudget.Tick(aNow);
+    for (charge_decision const& decision :
+         mDependencies.mBudget.TakeDecisions())
       OnCharged(decision, aNow);
     for (pool_runtime<Policy>* const pool : mPools.All())
       Admit(*pool, aNow);
   }
 
-  /// When Tick has work next at the latest, if it has any.
+  /// Returns the latest time by which Tick must run again.
   [[nodiscard]] std::optional<instant> NextWake(instant aNow) const
   {
     std::optional<instant> earliest = mPools.NextDeadline();
-    std::optional<instant> const gate = mParts.mGate.NextWake();
+    std::optional<instant> const gate = mDependencies.mGate.NextWake();
     if (gate && (!earliest || *gate < *earliest))
       earliest = gate;
-    instant const budget = mParts.mBudget.NextWake(aNow);
+    instant const budget = mDependencies.mBudget.NextWake(aNow);
     return earliest ? std::min(*earliest, budget) : budget;
   }
 
@@ -179,16 +182,16 @@
   void Dispatch(call_state& aCall, instant aNow);
   placement_request PlacementOf(call_state const& aCall) const;
   void Send(call_state& aCall, placement_choice const& aChoice, instant aNow);
-  void NoteCrash(call_state const& aCall,
-                 upstream_end const& aEnd,
-                 instant aNow);
+  void RecordCrash(call_state const& aCall,
+                   upstream_end const& aEnd,
+                   instant aNow);
   void Resume(call_state& aCall, upstream_end const& aEnd, instant aNow);
   bool MayRetry(call_state const& aCall,
                 upstream_end const& aEnd,
                 instant aNow);
   void Retry(call_state& aCall, instant aNow);
   void Finish(call_state& aCall, upstream_end aEnd, instant aNow);
-  void PassOn(upstream_end aEnd);
+  void ForwardAnswer(upstream_end aEnd);
   void Refuse(call_state& aCall, refusal aRefusal, instant aNow);
   void Close(call_state& aCall,
              request_outcome aOutcome,
@@ -198,12 +201,12 @@
 
   Ports& mPorts;
   View const& mView;
-  director_parts mParts;
+  director_dependencies mDependencies;
   failure_domain mFailureDomain;
   std::shared_ptr<config_tables const> mTables =
     std::make_shared<config_tables const>();
   pool_table<Policy> mPools;
-  call_book mCalls;
+  call_table mCalls;
   call_meter mMeter;
   std::vector<crash_report> mCrashes;
 };
--- a/Libraries/LibControl/RequestDirectorAttempts.h
+++ b/Libraries/LibControl/RequestDirectorAttempts.h
@@ -2,13 +2,13 @@
 
 #include <LibControl/RequestDirector.h>
 
-/// \file The members of request_director that send a call and end it.
+/// \file The members of request_director that send and end calls.
 
 namespace lycheeseam {
 
-// The key may have been withdrawn, the pool changed, the claim forgotten and
-// the request found to be poison while the call waited, so that all are
-// asked again.
+// While the call waited, its key may have been withdrawn, its pool changed, its
+// claim discarded, or its fingerprint refused because of crashes, so everything
+// is checked again.
 template<control_ports Ports, instance_view View, placement_policy Policy>
 void
 request_director<Ports, View, Policy>::Dispatch(call_state& aCall, instant aNow)
@@ -18,17 +18,17 @@
     Refuse(aCall, *refused, aNow);
     return;
   }
-  if (mParts.mPoison.IsRefused(aNow, aCall.mFingerprint)) {
+  if (mDependencies.mPoison.IsRefused(aNow, aCall.mFingerprint)) {
     Refuse(aCall, PoisonRefusal(), aNow);
     return;
   }
   if (aCall.IsClaimed() &&
-      !mParts.mGate.MayDispatch(aNow, aCall.mRequest.mId)) {
+      !mDependencies.mGate.MayDispatch(aNow, aCall.mRequest.mId)) {
     Refuse(aCall, QueueDeadlineRefusal(), aNow);
     return;
   }
   std::optional<placement_choice> const choice =
-    mPools.Of(aCall).Choose(PlacementOf(aCall), aCall.mLost, aNow);
+    mPools.Of(aCall).Choose(PlacementOf(aCall), aCall.mFailedServers, aNow);
   if (choice)
     Send(aCall, *choice, aNow);
   else
@@ -66,18 +66,18 @@
   mPorts.PostUpstream(MakeUpstreamRequest(aCall));
 }
 
-// A connection that breaks under a model engine is taken for its crash.
+// A connection that breaks during an attempt counts as a crash of the server.
 template<control_ports Ports, instance_view View, placement_policy Policy>
 void
-request_director<Ports, View, Policy>::NoteCrash(call_state const& aCall,
-                                                 upstream_end const& aEnd,
-                                                 instant aNow)
+request_director<Ports, View, Policy>::RecordCrash(call_state const& aCall,
+                                                   upstream_end const& aEnd,
+                                                   instant aNow)
 {
   if (aEnd.mFailure != transfer_failure::ConnectionLost)
     return;
   crash_report report{ .mServer = { .mServer = aCall.mServer.mId },
                        .mFingerprints = { aCall.mFingerprint } };
-  mParts.mPoison.OnCrash(aNow, report);
+  mDependencies.mPoison.OnCrash(aNow, report);
   mCrashes.push_back(std::move(report));
 }
 
@@ -87,7 +87,7 @@
                                               upstream_end const& aEnd,
                                               instant aNow)
 {
-  aCall.mTextSoFar += AnswerText(aEnd.mRecorded);
+  aCall.mForwardedText += AnswerText(aEnd.mRecorded);
   aCall.mHasBegun = true;
   Retry(aCall, aNow);
 }
@@ -102,7 +102,7 @@
     DecideRetry(aCall.mAdmitted.mRoute, aCall.mAttempt, aEnd);
   if (decision == retry_decision::GiveUp)
     return false;
-  if (mParts.mPoison.IsRefused(aNow, aCall.mFingerprint))
+  if (mDependencies.mPoison.IsRefused(aNow, aCall.mFingerprint))
     return false;
   return mPools.Of(aCall).Retries().TrySpend();
 }
@@ -111,7 +111,7 @@
 void
 request_director<Ports, View, Policy>::Retry(call_state& aCall, instant aNow)
 {
-  aCall.mLost.insert(aCall.mServer.mId);
+  aCall.mFailedServers.insert(aCall.mServer.mId);
   Dispatch(aCall, aNow);
 }
 
@@ -131,13 +131,13 @@
   else if (aEnd.mForwardedBytes > 0 || aCall.mHasBegun)
     mPorts.PostFront(front_end{ .mCall = number });
   else
-    PassOn(std::move(aEnd));
+    ForwardAnswer(std::move(aEnd));
   Close(aCall, std::move(outcome), used, aNow);
 }
 
 template<control_ports Ports, instance_view View, placement_policy Policy>
 void
-request_director<Ports, View, Policy>::PassOn(upstream_end aEnd)
+request_director<Ports, View, Policy>::ForwardAnswer(upstream_end aEnd)
 {
   mPorts.PostFront(front_answer{ .mCall = aEnd.mCall,
                                  .mStatus = aEnd.mStatus,
@@ -145,7 +145,7 @@
                                  .mBody = std::move(aEnd.mBody) });
 }
 
-// Ends a call with an error; what ran before on other servers may have run.
+// Ends a call with an error. A call that was sent before may have run.
 template<control_ports Ports, instance_view View, placement_policy Policy>
 void
 request_director<Ports, View, Policy>::Refuse(call_state& aCall,
@@ -162,7 +162,7 @@
         aNow);
 }
 
-// Settles what a call holds and forgets it.
+// Ends the call's claim, settles its charge and removes it.
 template<control_ports Ports, instance_view View, placement_policy Policy>
 void
 request_director<Ports, View, Policy>::Close(call_state& aCall,
@@ -170,9 +170,9 @@
                                              token_count aUsed,
                                              instant aNow)
 {
-  mParts.mGate.End(aNow, aCall.mRequest.mId, std::move(aOutcome));
+  mDependencies.mGate.End(aNow, aCall.mRequest.mId, std::move(aOutcome));
   if (aCall.mIsCharged)
-    mParts.mBudget.Settle(ChargeOf(aCall.mRequest.mCall), aUsed);
+    mDependencies.mBudget.Settle(ChargeOf(aCall.mRequest.mCall), aUsed);
   mCalls.Remove(aCall);
 }
 
--- a/Libraries/LibControl/RequestDirectorStages.h
+++ b/Libraries/LibControl/RequestDirectorStages.h
@@ -2,7 +2,7 @@
 
 #include <LibControl/RequestDirector.h>
 
-/// \file The members of request_director that take a call to its admission.
+/// \file The members of request_director for the stages up to admission.
 
 namespace lycheeseam {
 
@@ -25,12 +25,12 @@
 request_director<Ports, View, Policy>::Claim(call_state const& aCall,
                                              instant aNow)
 {
-  mParts.mGate.Begin(aNow,
-                     ClaimOf(aCall, aNow),
-                     mView.Log(aNow),
-                     [this](instance_identity const& aIdentity) {
-                       return mView.IsAlive(aIdentity);
-                     });
+  mDependencies.mGate.Begin(aNow,
+                            ClaimOf(aCall, aNow),
+                            mView.Log(aNow),
+                            [this](instance_identity const& aIdentity) {
+                              return mView.IsAlive(aIdentity);
+                            });
 }
 
 template<control_ports Ports, instance_view View, placement_policy Policy>
@@ -40,8 +40,8 @@
 {
   call_state* const found = mCalls.Find(aDecision.mId);
   if (!found) {
-    // Its caller has gone meanwhile; the claim is given back.
-    mParts.mGate.End(
+    // The caller has disconnected meanwhile; the claim ends as not run.
+    mDependencies.mGate.End(
       aNow, aDecision.mId, request_outcome{ .mVerdict = verdict::NotRun });
     return;
   }
@@ -78,7 +78,7 @@
     return;
   }
   aCall.mPhase = call_phase::Charging;
-  mParts.mBudget.Charge(
+  mDependencies.mBudget.Charge(
     aNow,
     charge_request{ .mCharge = ChargeOf(aCall.mRequest.mCall),
                     .mWorkspace = aCall.Workspace(),
--- a/Libraries/LibControl/RetryDecision.cpp
+++ b/Libraries/LibControl/RetryDecision.cpp
@@ -4,14 +4,15 @@
 
 namespace {
 
-constexpr attempt_number kMostAttempts{ 3 };
-// A request that has cost two backend servers is not tried on a third.
-constexpr attempt_number kMostAttemptsAfterLoss{ 2 };
+constexpr attempt_number kMaxAttempts{ 3 };
+// A request on which two backend servers failed may have caused it and is not
+// sent to a third one.
+constexpr attempt_number kMaxAttemptsAfterFailure{ 2 };
 
-// These statuses come from a server that is starting, loading or full, and
-// that has done nothing.
+// A server that is starting, loading weights or full answers with one of these
+// statuses and has not run the request.
 bool
-IsTurnedAway(upstream_end const& aEnd)
+IsServerRefusal(upstream_end const& aEnd)
 {
   return aEnd.mFailure == transfer_failure::None &&
          (aEnd.mStatus == 502 || aEnd.mStatus == 503);
@@ -27,13 +28,13 @@
   if (aEnd.mForwardedBytes > 0 || aEnd.mFailure == transfer_failure::Cancelled)
     return retry_decision::GiveUp;
   if (aEnd.mFailure == transfer_failure::NotConnected)
-    return aAttempt < kMostAttempts ? retry_decision::Retry
-                                    : retry_decision::GiveUp;
+    return aAttempt < kMaxAttempts ? retry_decision::Retry
+                                   : retry_decision::GiveUp;
   if (aRoute.mIdempotency == idempotency::NonIdempotent)
     return retry_decision::GiveUp;
   bool const failed =
-    aEnd.mFailure != transfer_failure::None || IsTurnedAway(aEnd);
-  if (failed && aAttempt < kMostAttemptsAfterLoss)
+    aEnd.mFailure != transfer_failure::None || IsServerRefusal(aEnd);
+  if (failed && aAttempt < kMaxAttemptsAfterFailure)
     return retry_decision::Retry;
   return retry_decision::GiveUp;
 }
--- a/Libraries/LibControl/RetryDecision.h
+++ b/Libraries/LibControl/RetryDecision.h
@@ -6,15 +6,16 @@
 
 namespace lycheeseam {
 
-/// Whether a failed attempt is followed by one at another backend server.
+/// Whether a failed attempt is retried on another backend server.
 enum class retry_decision
 {
   GiveUp,
   Retry,
 };
 
-/// Decides on an attempt's end. What has reached the caller can't be taken
-/// back, and non-idempotent work is repeated only when it surely didn't run.
+/// Decides whether to retry after an attempt's end. An attempt is not retried
+/// once bytes of its answer were forwarded to the caller; a non-idempotent
+/// request is retried only if it certainly did not run.
 retry_decision
 DecideRetry(route_row const& aRoute,
             attempt_number aAttempt,
--- a/Libraries/LibControl/ServerRuntime.h
+++ b/Libraries/LibControl/ServerRuntime.h
@@ -8,13 +8,13 @@
 
 namespace lycheeseam {
 
-/// What this instance knows of one backend server.
+/// This instance's state of one backend server of a pool.
 struct server_runtime
 {
   backend_server mRow;
   incarnation mIncarnation;
   server_load mLoad;
-  /// Uncached prompt tokens sent since the load was measured.
+  /// Uncached prompt tokens sent since the last load report.
   token_count mSentTokens = 0;
   server_window mWindow;
   circuit_breaker mBreaker{ circuit_breaker_options{} };
--- a/Libraries/LibControl/StageRefusals.cpp
+++ b/Libraries/LibControl/StageRefusals.cpp
@@ -19,12 +19,12 @@
                .mMessage = "the key's workspace no longer exists" };
     case charge_result::AboveBurst:
       return { .mCode = refusal_code::LargerThanBurst,
-               .mMessage = "the prompt and its largest answer exceed the "
-                           "workspace's burst; ask for fewer tokens" };
+               .mMessage = "the prompt and its longest answer exceed the "
+                           "workspace's burst; request fewer tokens" };
     case charge_result::QueueFull:
     case charge_result::DeadlinePassed:
       return { .mCode = refusal_code::RateExceeded,
-               .mMessage = "the workspace's rate is used up",
+               .mMessage = "the workspace's token rate is exhausted",
                .mRetryAfter = kRetryAfter };
     case charge_result::Admitted:
       break;
@@ -47,12 +47,13 @@
                .mMessage = "the Idempotency-Key was used for another request" };
     case once_action::RefuseLogUnreachable:
       return { .mCode = refusal_code::LogUnavailable,
-               .mMessage = "the log that keeps the request from running twice "
-                           "is not available",
+               .mMessage =
+                 "the log that prevents the request from running twice "
+                 "is not available",
                .mRetryAfter = kRetryAfter };
     case once_action::RefuseFull:
       return { .mCode = refusal_code::Overloaded,
-               .mMessage = "too many Idempotency-Keys are remembered",
+               .mMessage = "the table of Idempotency-Keys is full",
                .mRetryAfter = kRetryAfter };
     case once_action::Run:
     case once_action::Replay:
@@ -77,7 +78,7 @@
 OverloadRefusal()
 {
   return { .mCode = refusal_code::Overloaded,
-           .mMessage = "too many requests wait for this pool",
+           .mMessage = "too many requests are queued for this pool",
            .mRetryAfter = kRetryAfter };
 }
 
@@ -85,7 +86,8 @@
 QueueDeadlineRefusal()
 {
   return { .mCode = refusal_code::QueueDeadline,
-           .mMessage = "no backend server had room in time",
+           .mMessage =
+             "no backend server had capacity before the queue deadline",
            .mRetryAfter = kRetryAfter };
 }
 
@@ -102,7 +104,7 @@
 {
   return { .mCode = refusal_code::NotConfirmed,
            .mMessage = "this instance is cut off and may not know of withdrawn "
-                       "keys; use another one",
+                       "keys; use another instance",
            .mRetryAfter = kRetryAfter };
 }
 
@@ -110,7 +112,7 @@
 ShuttingDownRefusal()
 {
   return { .mCode = refusal_code::ShuttingDown,
-           .mMessage = "this instance is stopping; use another one",
+           .mMessage = "this instance is stopping; use another instance",
            .mRetryAfter = kRetryAfter };
 }
 
@@ -118,8 +120,7 @@
 PoisonRefusal()
 {
   return { .mCode = refusal_code::PoisonRequest,
-           .mMessage =
-             "backend servers were lost while they ran this request" };
+           .mMessage = "backend servers failed while they ran this request" };
 }
 
 }
--- a/Libraries/LibControl/StageRefusals.h
+++ b/Libraries/LibControl/StageRefusals.h
@@ -5,27 +5,27 @@
 #include <LibRequest/Refusal.h>
 #include <LibUpstream/UpstreamEnd.h>
 
-/// \file What a caller is told when a stage stops its request.
+/// \file The errors that callers get when a stage refuses their request.
 
 namespace lycheeseam {
 
-/// A charge that was not admitted.
+/// The workspace's budget did not admit the charge.
 refusal
 RefusalFor(charge_result aResult);
 
-/// A claim that does not let the request run.
+/// The claim in the log does not allow the request to run.
 refusal
 RefusalFor(once_action aAction);
 
-/// An attempt that gave no complete answer.
+/// The attempt brought no complete answer.
 refusal
 RefusalFor(upstream_end const& aEnd);
 
-/// Too much waits for the request's pool.
+/// Too many requests are queued for the pool, of the workspace or in total.
 refusal
 OverloadRefusal();
 
-/// No backend server had room before the request's deadline.
+/// No backend server had capacity before the request's queue deadline.
 refusal
 QueueDeadlineRefusal();
 
@@ -33,7 +33,7 @@
 refusal
 NoServerRefusal();
 
-/// The instance may not know of withdrawn keys.
+/// The instance's state is too old: it may not know of withdrawn keys.
 refusal
 NotConfirmedRefusal();
 
@@ -41,7 +41,7 @@
 refusal
 ShuttingDownRefusal();
 
-/// The request has crashed two backend servers.
+/// Two backend servers crashed while they ran this request.
 refusal
 PoisonRefusal();
 
--- a/Tests/LibControl/HealthyView.h
+++ b/Tests/LibControl/HealthyView.h
@@ -4,8 +4,9 @@
 
 namespace lycheeseam {
 
-/// An instance for which all is well, unless a test says otherwise.
-struct steady_view
+/// The view of an instance that is fresh, reaches the log and accepts requests,
+/// unless a test sets mAccepts to false.
+struct healthy_view
 {
   bool mAccepts = true;
 
--- a/Tests/LibControl/RecordingPorts.h
+++ b/Tests/LibControl/RecordingPorts.h
@@ -6,7 +6,7 @@
 
 namespace lycheeseam {
 
-/// Ports that keep what control sends, for tests to look at.
+/// Control ports that record the messages sent, for tests to check.
 struct recording_ports
 {
   std::vector<front_message> mFront;
--- a/Tests/LibControl/TestRequestDirector.cpp
+++ b/Tests/LibControl/TestRequestDirector.cpp
@@ -77,25 +77,25 @@
 
   instant mNow{};
   recording_ports mPorts;
-  steady_view mView;
+  healthy_view mView;
   instance_identity mSelf{ instance_id{ "i" }, incarnation{ 1 } };
   fleet_budget mBudget{ mSelf, {}, {}, {} };
   once_gate mGate{ mSelf, {}, {} };
   poison_table mPoison{ {} };
   metrics_recorder mMetrics;
   std::shared_ptr<config_tables> mTables;
-  request_director<recording_ports, steady_view, round_robin_policy> mDirector{
+  request_director<recording_ports, healthy_view, round_robin_policy> mDirector{
     mPorts,
     mView,
-    director_parts{ .mBudget = mBudget,
-                    .mGate = mGate,
-                    .mPoison = mPoison,
-                    .mMetrics = mMetrics },
+    director_dependencies{ .mBudget = mBudget,
+                           .mGate = mGate,
+                           .mPoison = mPoison,
+                           .mMetrics = mMetrics },
     failure_domain{ "z" }
   };
 };
 
-TEST_F(TestRequestDirector, PassesTheAnswerOn)
+TEST_F(TestRequestDirector, ForwardsTheAnswerToTheCaller)
 {
   Open();
   EndAttempt(transfer_failure::None, verdict::Ran);
@@ -103,7 +103,7 @@
   EXPECT_EQ(mDirector.OpenCalls(), 0U);
 }
 
-TEST_F(TestRequestDirector, RetriesALostIdempotentAttemptElsewhereOnce)
+TEST_F(TestRequestDirector, RetriesAFailedIdempotentAttemptOnceOnAnotherServer)
 {
   Open();
   endpoint const first = LastAttempt().mServer;
@@ -114,7 +114,7 @@
   EXPECT_EQ(mPorts.mUpstream.size(), 2U);
 }
 
-TEST_F(TestRequestDirector, NeverRepeatsNonIdempotentWorkThatMayHaveRun)
+TEST_F(TestRequestDirector, DoesNotRetryANonIdempotentRequestThatMayHaveRun)
 {
   SetIdempotency(idempotency::NonIdempotent);
   Open();
@@ -123,7 +123,7 @@
   EXPECT_EQ(LastRefusal().mVerdict, verdict::MayHaveRun);
 }
 
-TEST_F(TestRequestDirector, RetriesNonIdempotentWorkThatWasNotSent)
+TEST_F(TestRequestDirector, RetriesANonIdempotentRequestThatWasNotSent)
 {
   SetIdempotency(idempotency::NonIdempotent);
   Open();
@@ -132,13 +132,13 @@
   EXPECT_EQ(std::get<front_answer>(mPorts.mFront.back()).mBody, "ok");
 }
 
-TEST_F(TestRequestDirector, RefusesAKeyWithdrawnWhileQueued)
+TEST_F(TestRequestDirector, RefusesAQueuedRequestWhoseKeyWasWithdrawn)
 {
   Open(call_number{ 1 });
   Open(call_number{ 2 });
   Open(call_number{ 3 });
   ASSERT_EQ(mPorts.mUpstream.size(), 2U);
-  // The route asks for keys from now on, and the callers' key is withdrawn.
+  // From now on the route requires a key, and the callers' key is withdrawn.
   mTables->mKeys.clear();
   mTables->mRoutes[route_name{ "stock" }].mRow.mAccess = route_access::Keyed;
   EndAttempt(transfer_failure::None, verdict::Ran);
@@ -146,7 +146,7 @@
   EXPECT_EQ(LastRefusal().mCode, refusal_code::InvalidKey);
 }
 
-TEST_F(TestRequestDirector, ExpiresWhatWaitsTooLong)
+TEST_F(TestRequestDirector, RefusesAQueuedRequestAfterItsQueueDeadline)
 {
   Open(call_number{ 1 });
   Open(call_number{ 2 });
@@ -157,7 +157,7 @@
   EXPECT_EQ(LastRefusal().mVerdict, verdict::NotRun);
 }
 
-TEST_F(TestRequestDirector, RefusesARequestThatLostTwoServers)
+TEST_F(TestRequestDirector, RefusesARequestOnWhichTwoServersCrashed)
 {
   Open(call_number{ 1 });
   EndAttempt(transfer_failure::ConnectionLost, verdict::MayHaveRun);
@@ -169,7 +169,7 @@
   EXPECT_EQ(LastRefusal().mVerdict, verdict::NotRun);
 }
 
-TEST_F(TestRequestDirector, RefusesAllWhenNearItsEnd)
+TEST_F(TestRequestDirector, RefusesNewRequestsWhenTheInstanceIsStopping)
 {
   mView.mAccepts = false;
   Open();
@@ -177,7 +177,7 @@
   EXPECT_TRUE(mPorts.mUpstream.empty());
 }
 
-TEST_F(TestRequestDirector, CancelsTheAttemptOfACallerThatHasGone)
+TEST_F(TestRequestDirector, CancelsTheAttemptWhenTheCallerDisconnects)
 {
   Open();
   mDirector.Handle(caller_disconnected{ kCall }, mNow);
