--- a/Libraries/LibRouter/AsioPoster.h
+++ b/Libraries/LibRouter/AsioPoster.h
@@ -8,7 +8,7 @@
 
 namespace lycheeseam {
 
-/// Runs callbacks on a control thread's context.
+/// Posts callbacks to an io_context, to run on its thread (the control thread).
 struct asio_poster
 {
   boost::asio::io_context* mContext;
--- a/Libraries/LibRouter/ControlCore.cpp
+++ b/Libraries/LibRouter/ControlCore.cpp
@@ -23,8 +23,8 @@
   };
 }
 
-// Instances of one fleet start at different moments, so that the start also
-// keeps their random choices apart.
+// Seeds the random choices differently on each instance and after each restart,
+// so that the instances of a fleet don't write checkpoints at the same time.
 std::uint64_t
 SeedOf(instance_identity const& aSelf)
 {
@@ -89,7 +89,7 @@
   std::visit(
     [this, now](auto& aAny) { mDirector.Handle(std::move(aAny), now); },
     aMessage);
-  Pump();
+  SendPending();
   ArmTimer();
 }
 
@@ -98,8 +98,8 @@
 {
   instant const now = mClock.Now();
   if (now >= mNextTick) {
-    mNextTick = now + kTick;
-    mStatus.Knowledge().OnTick(now);
+    mNextTick = now + kTickInterval;
+    mStatus.FreshnessTracker().OnTick(now);
     RefreshMembers();
     CheckDrain(now);
   }
@@ -107,7 +107,8 @@
   Advance();
 }
 
-// Starts what the log owes and is owed; ends with the timer armed anew.
+// Starts the log reads, appends and checkpoint writes that are due, sends
+// pending messages and rearms the timer.
 void
 control_core::Advance()
 {
@@ -115,47 +116,49 @@
   mFollower.Advance(now);
   mAppender.Advance(now, mFollower.Range().mTail);
   mCheckpoints.Advance(now, mFollower.Range());
-  Pump();
+  SendPending();
   ArmTimer();
 }
 
-// Sends what decisions have left to send. Messages to this instance itself
-// may lead to more, which the loop in the budget's part takes.
+// Sends the messages and records that decisions have queued. A budget message
+// to this instance itself may queue further ones; SendBudgetMessages loops
+// until none is left. The flag guards against re-entry from the director's
+// Tick.
 void
-control_core::Pump()
+control_core::SendPending()
 {
-  if (mIsPumping)
+  if (mIsSendingPending)
     return;
-  mIsPumping = true;
+  mIsSendingPending = true;
   instant const now = mClock.Now();
   SendBudgetMessages(now);
   AppendRecords(now);
   BroadcastCrashes();
-  mIsPumping = false;
+  mIsSendingPending = false;
 }
 
 void
 control_core::SendBudgetMessages(instant aNow)
 {
-  bool isForSelf = false;
+  bool isToSelf = false;
   std::vector<budget_envelope> envelopes = mBudget.TakeOutbox();
   while (!envelopes.empty()) {
     for (budget_envelope const& envelope : envelopes) {
       if (envelope.mTo == mStatus.Self().mInstance) {
         mBudget.OnMessage(aNow, envelope.mMessage);
-        isForSelf = true;
+        isToSelf = true;
       } else {
         mHub.Send(envelope.mTo, envelope.mMessage);
       }
     }
     envelopes = mBudget.TakeOutbox();
   }
-  if (isForSelf)
+  if (isToSelf)
     mDirector.Tick(aNow);
 }
 
-// Slots and claims settle lost answers by what they read back, so that the
-// answers to these appends are of no use.
+// The answers to these appends are ignored: a slot claim or a request's claim
+// counts only once its record is read back from the log.
 void
 control_core::AppendRecords(instant aNow)
 {
@@ -180,8 +183,8 @@
   }
 }
 
-// The timer always stands at the earliest deadline: between two of them the
-// control thread sleeps.
+// Sets the timer to the earliest deadline, so that the control thread sleeps
+// until there is work.
 void
 control_core::ArmTimer()
 {
@@ -269,14 +272,14 @@
 {
   instant const now = mClock.Now();
   config_tables const& tables = mState.Config().Tables();
-  for (workspace_id const& name : mLimited) {
+  for (workspace_id const& name : mLimitedWorkspaces) {
     if (!tables.FindWorkspace(name))
       mBudget.OnWorkspaceRemoved(name);
   }
-  mLimited.clear();
+  mLimitedWorkspaces.clear();
   for (auto const& [name, entry] : tables.mWorkspaces) {
     mBudget.OnLimits(now, entry.mRow);
-    mLimited.insert(name);
+    mLimitedWorkspaces.insert(name);
   }
 }
 
--- a/Libraries/LibRouter/ControlCore.h
+++ b/Libraries/LibRouter/ControlCore.h
@@ -27,15 +27,16 @@
 
 namespace lycheeseam {
 
-/// What control tells the traffic threads as snapshots.
+/// The snapshots that the control thread publishes to the traffic threads.
 struct published_views
 {
   published<config_tables>& mTables;
   published<std::string>& mInstancesBody;
 };
 
-/// All state of the control thread: joins the log, the peers, the budget, the
-/// claims and the director. Made, used and destroyed on that thread.
+/// Owns the control thread's state and connects its parts: the log, the peers,
+/// the token budget, the claims and the request_director. Constructed and used
+/// on the control thread; destroyed after that thread has ended.
 class control_core
 {
 public:
@@ -47,13 +48,14 @@
   control_core(control_core const&) = delete;
   control_core& operator=(control_core const&) = delete;
 
-  /// Takes a message of a traffic thread.
+  /// Handles a message from a traffic thread.
   void Handle(control_message aMessage);
 
-  /// Begins a planned stop; Done is called when nothing is open any more.
+  /// Begins a planned stop; calls aDone on this thread once no call is open or
+  /// the time limit for the stop has passed.
   void BeginDrain(std::function<void()> aDone);
 
-  /// Carries out an operator's call; Done runs on this thread.
+  /// Runs an operator's call; calls aDone on this thread.
   void HandleAdmin(admin_call const& aCall, admin_callback aDone);
 
   // admin_control
@@ -75,13 +77,14 @@
 private:
   using platform = platform_client<asio_poster>;
 
-  // Bounds how late a pause is noticed and how late periodic work is done.
-  static constexpr std::chrono::milliseconds kTick{ 200 };
+  // The longest delay with which a pause of this process is detected and
+  // periodic work is done.
+  static constexpr std::chrono::milliseconds kTickInterval{ 200 };
   static constexpr std::chrono::milliseconds kListInterval{ 1000 };
 
   void Tick();
   void Advance();
-  void Pump();
+  void SendPending();
   void SendBudgetMessages(instant aNow);
   void AppendRecords(instant aNow);
   void BroadcastCrashes();
@@ -90,7 +93,7 @@
   void PublishInstances();
   void UpdateLimits();
   void RefreshMembers();
-  void TakeList(std::optional<instance_list> const& aList);
+  void ApplyInstanceList(std::optional<instance_list> const& aList);
   void SelectLinks();
   void Register();
   void CheckDrain(instant aNow);
@@ -105,7 +108,7 @@
   void HandlePeer(instance_identity const& aPeer, poison_notice& aNotice);
   void HandlePeer(instance_identity const& aPeer, drain_notice& aNotice);
   void HandlePeer(instance_identity const& aPeer, budget_message& aMessage);
-  // What this instance has no use for yet.
+  // Ignores all other messages.
   template<typename Other>
   void HandlePeer(instance_identity const&, Other&)
   {
@@ -113,7 +116,7 @@
 
   [[nodiscard]] peer_hello MakeHello() const;
   [[nodiscard]] peer_heartbeat MakeHeartbeat() const;
-  [[nodiscard]] listed_instance MakeListing() const;
+  [[nodiscard]] listed_instance MakeRegistration() const;
 
   daemon_settings const& mSettings;
   published_views mViews;
@@ -133,11 +136,11 @@
   request_director<traffic, instance_status, rendezvous_policy> mDirector;
   peer_hub<control_core, quiet_link_supervisor, system_clock> mHub;
   admin_call_handler<control_core> mAdmin;
-  std::set<workspace_id> mLimited;
+  std::set<workspace_id> mLimitedWorkspaces;
   row_version mPublished;
   instant mNextTick{};
-  instant mNextList{};
-  bool mIsPumping = false;
+  instant mNextListRequest{};
+  bool mIsSendingPending = false;
   std::function<void()> mOnDrained;
 };
 
--- a/Libraries/LibRouter/ControlCoreAdmin.cpp
+++ b/Libraries/LibRouter/ControlCoreAdmin.cpp
@@ -17,7 +17,8 @@
   return mState.Config().Tables();
 }
 
-// Without the log's tail the appender can't say until when a proposal counts.
+// A proposal is valid up to an offset that is computed from the log's tail, so
+// none is accepted before this instance follows the log.
 void
 control_core::Propose(config_proposal aProposal, proposal_callback const& aDone)
 {
--- a/Libraries/LibRouter/ControlCoreMembers.cpp
+++ b/Libraries/LibRouter/ControlCoreMembers.cpp
@@ -11,18 +11,19 @@
 control_core::RefreshMembers()
 {
   instant const now = mClock.Now();
-  if (now < mNextList)
+  if (now < mNextListRequest)
     return;
-  mNextList = now + kListInterval;
+  mNextListRequest = now + kListInterval;
   mMetrics.Merge(mRecorder.TakeDelta());
   mMetrics.Tick();
-  mPlatform.ListInstances(
-    [this](std::optional<instance_list> const& aList) { TakeList(aList); });
+  mPlatform.ListInstances([this](std::optional<instance_list> const& aList) {
+    ApplyInstanceList(aList);
+  });
   Register();
 }
 
 void
-control_core::TakeList(std::optional<instance_list> const& aList)
+control_core::ApplyInstanceList(std::optional<instance_list> const& aList)
 {
   if (!aList)
     return;
@@ -43,10 +44,11 @@
   mBudget.OnInstanceList(now, live);
   SelectLinks();
   PublishInstances();
-  Pump();
+  SendPending();
 }
 
-// The settings' peers are dialled too until the list knows who they are.
+// Also connects to the peers of the settings until the instance list contains
+// their addresses.
 void
 control_core::SelectLinks()
 {
@@ -80,7 +82,7 @@
 }
 
 listed_instance
-control_core::MakeListing() const
+control_core::MakeRegistration() const
 {
   std::vector<member> const usable = mStatus.Members().Usable();
   bool const isLive = std::ranges::any_of(usable, [this](member const& aOne) {
@@ -98,7 +100,7 @@
 void
 control_core::Register()
 {
-  mPlatform.RegisterInstance(MakeListing(), [](bool) {});
+  mPlatform.RegisterInstance(MakeRegistration(), [](bool) {});
 }
 
 }
--- a/Libraries/LibRouter/ControlCorePeers.cpp
+++ b/Libraries/LibRouter/ControlCorePeers.cpp
@@ -19,8 +19,9 @@
   instant const now = mClock.Now();
   return peer_heartbeat{ .mIsLeaving = !mStatus.Accepts(now),
                          .mApplied = mState.Offset(),
-                         .mTail = mStatus.Knowledge().Tail(now),
-                         .mDomains = mStatus.Knowledge().DomainSigns(now) };
+                         .mTail = mStatus.FreshnessTracker().Tail(now),
+                         .mDomains =
+                           mStatus.FreshnessTracker().DomainSigns(now) };
 }
 
 void
@@ -34,7 +35,8 @@
   PublishInstances();
 }
 
-// A starting instance serves from a peer's state before the log has answered.
+// A starting instance loads its state from a peer's snapshot, so that it can
+// serve before the log has answered.
 void
 control_core::RequestSnapshot(instance_id const& aPeer)
 {
@@ -47,7 +49,7 @@
                             peer_message& aMessage)
 {
   std::visit([this, &aPeer](auto& aAny) { HandlePeer(aPeer, aAny); }, aMessage);
-  Pump();
+  SendPending();
   ArmTimer();
 }
 
@@ -71,7 +73,7 @@
     if (one.mIdentity == aPeer)
       domain = DomainCode(one.mFailureDomain);
   }
-  mStatus.Knowledge().OnPeerSign(
+  mStatus.FreshnessTracker().OnPeerSign(
     peer_observation{ .mPeer = aPeer.mInstance,
                       .mDomain = domain,
                       .mEchoedSentAt = *aHeartbeat.mEcho,
@@ -100,7 +102,8 @@
   try {
     mState.Load(aAnswer.mOffset, aAnswer.mState);
   } catch (invalid_input const&) {
-    // Written by a version that this one can't read; the log remains.
+    // The snapshot comes from a version that this one can't read. The state is
+    // still loaded from the log.
     return;
   }
   OnJump(aAnswer.mOffset);
--- a/Libraries/LibRouter/ControlInbox.h
+++ b/Libraries/LibRouter/ControlInbox.h
@@ -10,11 +10,12 @@
 
 namespace lycheeseam {
 
-/// The messages that traffic threads have for the control thread.
+/// Queues messages from the traffic threads for the control thread. Post is
+/// safe from any thread; the handler runs on the control thread.
 class control_inbox
 {
 public:
-  /// Handler runs on the context's thread, once for each message.
+  /// Calls aHandler on the context's thread once for each message.
   control_inbox(boost::asio::io_context& aContext,
                 std::function<void(control_message)> aHandler)
     : mHandler(std::move(aHandler))
@@ -22,7 +23,7 @@
   {
   }
 
-  /// Hands a message to control; safe from any thread.
+  /// Queues a message for control; safe from any thread.
   void Post(control_message aMessage) { mMessages.Post(std::move(aMessage)); }
 
 private:
--- a/Libraries/LibRouter/FleetState.cpp
+++ b/Libraries/LibRouter/FleetState.cpp
@@ -22,7 +22,7 @@
   auto const found =
     std::ranges::find(aSections, aName, &checkpoint_section::mName);
   if (found == aSections.end())
-    throw invalid_input("a checkpoint lacks the section " +
+    throw invalid_input("the checkpoint is missing the section " +
                         std::string{ aName });
   return found->mText;
 }
@@ -58,8 +58,8 @@
   return EncodeSections(sections);
 }
 
-// Everything is read before anything is taken over, so that a malformed
-// section leaves the state as it was.
+// Decodes all sections before it changes any state, so that a malformed section
+// leaves the state unchanged.
 void
 fleet_state::Load(log_offset aCovers, std::string_view aText)
 {
--- a/Libraries/LibRouter/FleetState.h
+++ b/Libraries/LibRouter/FleetState.h
@@ -11,26 +11,28 @@
 
 namespace lycheeseam {
 
-/// All that this instance folds from the log, as one state with an offset:
-/// the operators' tables, the holders of budget slots, and the claims of
+/// All state that this instance folds from the log, at one offset: the
+/// operators' tables, the holders of budget slots, and the claims of
 /// non-idempotent requests.
 class fleet_state
 {
 public:
-  /// The budget and the gate keep folds of their own; they outlive this.
+  /// The budget and the gate keep their own parts of the state and must outlive
+  /// this object.
   fleet_state(fleet_budget& aBudget, once_gate& aGate);
 
   /// Applies the next entry of the log.
   void Apply(log_entry const& aEntry);
 
-  /// The last entry applied; 0 before the first.
+  /// The offset of the last entry applied; 0 before the first.
   [[nodiscard]] log_offset Offset() const noexcept { return mOffset; }
 
-  /// The state as a checkpoint's text.
+  /// Encodes the state as a checkpoint.
   [[nodiscard]] std::string Save() const;
 
-  /// Goes on from a checkpoint's text. Throws invalid_input and stays as it
-  /// was when a section is missing or malformed.
+  /// Replaces the state by a checkpoint that covers the log up to aCovers.
+  /// Throws invalid_input and leaves the state unchanged when a section is
+  /// missing or malformed.
   void Load(log_offset aCovers, std::string_view aText);
 
   /// The operators' tables and the outcomes of proposals.
--- a/Libraries/LibRouter/FormatInstances.h
+++ b/Libraries/LibRouter/FormatInstances.h
@@ -9,8 +9,9 @@
 
 namespace lycheeseam {
 
-/// The answer to /v1/instances: the addresses to use, those of the instance's
-/// own failure domain first, and how long to keep them.
+/// Formats the answer to /v1/instances as JSON: the addresses that callers may
+/// use, those of this instance's failure domain first, and how long to cache
+/// them.
 std::string
 FormatInstances(std::span<member const> aUsable,
                 failure_domain const& aDomain,
--- a/Libraries/LibRouter/InstanceReport.h
+++ b/Libraries/LibRouter/InstanceReport.h
@@ -14,13 +14,14 @@
 
 namespace lycheeseam {
 
-/// What an instance says of itself and of those that it knows.
+/// An instance's status report for operators: its own state and the members and
+/// slot holders that it knows.
 struct instance_report
 {
   instance_identity mSelf;
-  /// The last entry of the log that is in force here.
+  /// The offset of the last log entry that this instance has applied.
   log_offset mApplied;
-  /// The log's tail as last read.
+  /// The log's tail at the last read.
   log_offset mTail;
   freshness_verdict mFreshness = freshness_verdict::CutOff;
   std::size_t mOpenCalls = 0;
@@ -28,7 +29,7 @@
   std::map<slot_id, slot_holder> mSlots;
 };
 
-/// The report as JSON.
+/// Formats the report as JSON.
 std::string
 FormatReport(instance_report const& aReport);
 
--- a/Libraries/LibRouter/InstanceStatus.cpp
+++ b/Libraries/LibRouter/InstanceStatus.cpp
@@ -5,7 +5,7 @@
 namespace {
 
 member
-SelfAsMember(daemon_settings const& aSettings, instance_identity const& aSelf)
+MakeSelfMember(daemon_settings const& aSettings, instance_identity const& aSelf)
 {
   return member{ .mIdentity = aSelf,
                  .mFailureDomain = aSettings.mFailureDomain,
@@ -21,7 +21,7 @@
   : mSelf(std::move(aSelf))
   , mLogBound(aSettings.mTimeouts.mLogPollWait +
               aSettings.mHeartbeat.mFreshnessBound)
-  , mMembers(SelfAsMember(aSettings, mSelf), {})
+  , mMembers(MakeSelfMember(aSettings, mSelf), {})
   , mFreshness(mSelf.mInstance,
                { .mBound = aSettings.mHeartbeat.mFreshnessBound },
                aNow)
--- a/Libraries/LibRouter/InstanceStatus.h
+++ b/Libraries/LibRouter/InstanceStatus.h
@@ -11,9 +11,9 @@
 
 namespace lycheeseam {
 
-/// What this instance knows of itself and of the others: members, freshness,
-/// its own stop, and whether the log answers. Decisions read it as an
-/// instance_view.
+/// This instance's status and its record of the others: members, freshness, the
+/// progress of its own stop, and whether it reaches the log. The director reads
+/// it as an instance_view. Used on the control thread.
 class instance_status
 {
 public:
@@ -27,11 +27,11 @@
   [[nodiscard]] bool Accepts(instant aNow) const;
   [[nodiscard]] bool IsAlive(instance_identity const& aIdentity) const;
 
-  /// This instance read the log's tail by a read sent at that time, and has
-  /// applied all up to it.
+  /// Records that this instance has applied all entries up to the log's tail,
+  /// as returned by a read sent at aSentAt.
   void OnTailRead(log_offset aTail, instant aSentAt);
 
-  /// Replaces the peers that this instance keeps links to.
+  /// Sets the peers that this instance keeps connections to.
   void SetLinked(std::vector<instance_id> aLinked);
 
   [[nodiscard]] instance_identity const& Self() const noexcept { return mSelf; }
@@ -40,8 +40,8 @@
   {
     return mMembers;
   }
-  [[nodiscard]] freshness& Knowledge() noexcept { return mFreshness; }
-  [[nodiscard]] freshness const& Knowledge() const noexcept
+  [[nodiscard]] freshness& FreshnessTracker() noexcept { return mFreshness; }
+  [[nodiscard]] freshness const& FreshnessTracker() const noexcept
   {
     return mFreshness;
   }
--- a/Libraries/LibRouter/Router.cpp
+++ b/Libraries/LibRouter/Router.cpp
@@ -11,7 +11,8 @@
 
 namespace {
 
-// An instance keeps nothing, so that the wall clock numbers its lives.
+// An instance stores nothing on disk, so its incarnation number is its start
+// time on the wall clock, in milliseconds.
 instance_identity
 MakeIdentity(daemon_settings const& aSettings)
 {
@@ -21,7 +22,7 @@
                                 TimeOfDay().count()) } };
 }
 
-// Longer than the appender takes to settle a lost answer.
+// Longer than the appender needs to resolve an append whose answer was lost.
 constexpr std::chrono::seconds kAdminTimeout{ 15 };
 
 operator_directory
@@ -33,7 +34,7 @@
   return operators;
 }
 
-// The instance's name and life keep ids apart over the fleet.
+// The instance id and the incarnation make request ids unique in the fleet.
 std::string
 RequestIdPrefix(instance_identity const& aSelf)
 {
@@ -53,28 +54,28 @@
       [this](control_message aMessage) { mCore->Handle(std::move(aMessage)); })
   , mTraffic(mSettings, RequestIdPrefix(mSelf), mInbox, mTables, mInstancesBody)
 {
-  std::promise<void> made;
-  boost::asio::post(mControl.Context(), [this, &made]() {
+  std::promise<void> created;
+  boost::asio::post(mControl.Context(), [this, &created]() {
     mCore = std::make_unique<control_core>(
       mControl.Context(),
       mSettings,
       mSelf,
       mTraffic,
       published_views{ .mTables = mTables, .mInstancesBody = mInstancesBody });
-    made.set_value();
+    created.set_value();
   });
-  made.get_future().wait();
+  created.get_future().wait();
   mTraffic.Open();
   mAdmin = std::make_unique<admin_server>(
     mSettings.mListen.mAdmin, OperatorsOf(mSettings), [this](admin_call aCall) {
-      return CarryOut(std::move(aCall));
+      return RunAdminCall(std::move(aCall));
     });
 }
 
-// The admin thread waits for control here. An answer that comes too late
-// finds its promise kept alive by the callback alone.
+// Blocks the admin thread until control answers. The callback shares ownership
+// of the promise, so that an answer after the timeout is safe.
 admin_answer
-router::CarryOut(admin_call aCall)
+router::RunAdminCall(admin_call aCall)
 {
   std::shared_ptr<std::promise<admin_answer>> const promise =
     std::make_shared<std::promise<admin_answer>>();
@@ -86,12 +87,13 @@
                       });
                     });
   if (answer.wait_for(kAdminTimeout) != std::future_status::ready)
-    return ErrorAnswer(503, "control gave no answer in time");
+    return ErrorAnswer(
+      503, "the control thread did not answer within the time limit");
   return answer.get();
 }
 
-// Control ends first, and its state with it while the traffic threads that
-// it posts to are still there.
+// Stops the control thread and destroys its state before the traffic threads
+// that it posts to.
 router::~router()
 {
   mAdmin.reset();
--- a/Libraries/LibRouter/Router.h
+++ b/Libraries/LibRouter/Router.h
@@ -14,23 +14,23 @@
 
 namespace lycheeseam {
 
-/// One running instance: the control thread, the traffic threads, and the
-/// ways between them.
+/// One running instance: its control thread, its traffic threads, its admin
+/// server and the message channels between them.
 class router
 {
 public:
-  /// Starts everything; returns once callers are accepted.
+  /// Starts all threads; returns once callers are accepted.
   explicit router(daemon_settings aSettings);
   router(router const&) = delete;
   router& operator=(router const&) = delete;
   ~router();
 
-  /// Begins a planned stop: takes no new callers, finishes what is open, and
-  /// returns when nothing is open any more or the settings' bound has passed.
+  /// Runs a planned stop: accepts no new callers, finishes open calls, and
+  /// returns when no call is open or the settings' time limit has passed.
   void Drain();
 
 private:
-  admin_answer CarryOut(admin_call aCall);
+  admin_answer RunAdminCall(admin_call aCall);
 
   daemon_settings mSettings;
   instance_identity mSelf;
--- a/Libraries/LibRouter/Traffic.cpp
+++ b/Libraries/LibRouter/Traffic.cpp
@@ -39,7 +39,7 @@
     mLoops.push_back(std::make_unique<upstream_loop<traffic>>(*this));
 }
 
-// The loops go first: they write to the front, and nothing reads after it.
+// The upstream loops end first, because they post to the front server.
 traffic::~traffic()
 {
   mLoops.clear();
--- a/Libraries/LibRouter/Traffic.h
+++ b/Libraries/LibRouter/Traffic.h
@@ -13,9 +13,10 @@
 
 namespace lycheeseam {
 
-/// The traffic threads and the ways between them and control. Pieces of
-/// answers go from the upstream loops to the front workers directly; control
-/// sees a call's beginning and its attempts' ends.
+/// Owns the traffic threads and passes messages between them and the control
+/// thread. Pieces of answers go from the upstream loops directly to the front
+/// workers; control receives only the start of each call and the end of each
+/// attempt. The functions are called from control and traffic threads.
 class traffic
 {
 public:
@@ -28,21 +29,21 @@
   traffic& operator=(traffic const&) = delete;
   ~traffic();
 
-  /// Begins to accept callers; control is ready by then.
+  /// Starts to accept callers; control must be ready.
   void Open();
 
-  // What control asks for (control_ports).
+  // control_ports; traffic threads call them too
   void PostFront(front_message aMessage);
   void PostUpstream(upstream_command aCommand);
 
-  // What front workers tell (call_sink).
+  // call_sink, called by front workers
   void OnCall(caller_request aRequest);
   void OnCallerDisconnected(call_number aCall);
   void OnPace(call_number aCall, caller_pace aPace);
   std::string ModelsBody();
   std::string InstancesBody();
 
-  // What upstream loops tell (upstream_sink).
+  // upstream_sink, called by upstream loops
   void OnHead(upstream_head aHead);
   void OnPiece(upstream_piece aPiece);
   void OnEnd(upstream_end aEnd);
