--- a/Libraries/LibOpenAi/ParseCompletion.cpp
+++ b/Libraries/LibOpenAi/ParseCompletion.cpp
@@ -95,11 +95,11 @@
 {
   auto const stream = aBody.find("stream");
   if (stream == aBody.end() || stream->is_null())
-    return answer_delivery::Whole;
+    return answer_delivery::Complete;
   if (!stream->is_boolean())
     throw invalid_input("\"stream\" is neither true nor false");
   return stream->get<bool>() ? answer_delivery::Streamed
-                             : answer_delivery::Whole;
+                             : answer_delivery::Complete;
 }
 
 }
--- a/Libraries/LibRequest/AdmittedRoute.h
+++ b/Libraries/LibRequest/AdmittedRoute.h
@@ -10,17 +10,17 @@
 
 namespace lycheeseam {
 
-/// The rows that a request runs under, copied so that an edit of the tables
-/// can't change a request midway.
+/// The configuration rows that apply to a request. They are copied, so that a
+/// configuration change does not affect a request that is already running.
 struct admitted_route
 {
   route_row mRoute;
   pool_row mPool;
-  /// Nothing on routes open to all.
+  /// Empty on open routes, which need no key.
   std::optional<workspace_row> mWorkspace;
 };
 
-/// A request's rows, or why it has none.
+/// The rows that apply to a request, or the refusal if it matches none.
 using route_decision = std::variant<admitted_route, refusal>;
 
 }
--- a/Libraries/LibRequest/AttemptNumber.h
+++ b/Libraries/LibRequest/AttemptNumber.h
@@ -4,7 +4,7 @@
 
 namespace lycheeseam {
 
-/// The count of an attempt within one call; the first is 1.
+/// The number of an attempt within one call; the first is 1.
 using attempt_number = ordinal<struct attempt_tag>;
 
 }
--- a/Libraries/LibRequest/CallKind.h
+++ b/Libraries/LibRequest/CallKind.h
@@ -2,12 +2,12 @@
 
 namespace lycheeseam {
 
-/// What a caller asks for.
+/// The kind of a caller's request.
 enum class call_kind
 {
-  /// An OpenAI completion, whole or streamed.
+  /// An OpenAI completion, complete or streamed.
   Completion,
-  /// A call of a plain service, passed on as it is.
+  /// A request to a plain HTTP service, forwarded unchanged.
   Plain,
 };
 
--- a/Libraries/LibRequest/CallNumber.h
+++ b/Libraries/LibRequest/CallNumber.h
@@ -4,8 +4,8 @@
 
 namespace lycheeseam {
 
-/// A call's number within one process; never used again, so that a late
-/// piece of one answer can't reach another caller.
+/// A call's number within one process. It is never reused, so that a late piece
+/// of one answer can't reach another caller.
 using call_number = ordinal<struct call_tag>;
 
 }
--- a/Libraries/LibRequest/CallerRequest.h
+++ b/Libraries/LibRequest/CallerRequest.h
@@ -15,24 +15,24 @@
 
 namespace lycheeseam {
 
-/// A caller's request after decoding, before any decision. The key itself
-/// is gone by here; its digest stands for it.
+/// A caller's decoded request, before any decision on it. It holds only the
+/// digest of the caller's key, never the key itself.
 struct caller_request
 {
   call_number mCall;
   request_id mId;
   call_kind mKind = call_kind::Plain;
   std::string mMethod;
-  /// Path and query as they go on to a backend server.
+  /// Path and query, as forwarded to a backend server.
   std::string mTarget;
-  /// The headers that may go on, chosen by an allow list.
+  /// The headers to forward, selected by an allow list.
   std::vector<header_field> mHeaders;
   std::shared_ptr<std::string const> mBody;
-  /// Of method, target and body.
+  /// Digest of method, target and body.
   digest mFingerprint;
   std::optional<digest> mKey;
   std::optional<idempotency_key> mIdempotencyKey;
-  /// W3C trace context as it came; empty when there was none.
+  /// The W3C traceparent header as received; empty if there was none.
   std::string mTraceparent;
   completion_parameters mCompletion;
   instant mArrival;
--- a/Libraries/LibRequest/CompletionParameters.h
+++ b/Libraries/LibRequest/CompletionParameters.h
@@ -7,21 +7,21 @@
 
 namespace lycheeseam {
 
-/// Whether a completion's tokens come as they are made.
+/// Whether a completion's answer is sent at once or streamed token by token.
 enum class answer_delivery
 {
-  Whole,
+  Complete,
   Streamed,
 };
 
-/// What routing needs to know of a completion request's body.
+/// The parts of a completion request's body that routing uses.
 struct completion_parameters
 {
   model_name mModel;
   /// The prompt as one text, in the order in which engines cache it.
   std::string mPrompt;
-  answer_delivery mDelivery = answer_delivery::Whole;
-  /// The largest answer that the caller allows, in tokens, if it said so.
+  answer_delivery mDelivery = answer_delivery::Complete;
+  /// The request's limit on the answer's length, in tokens, if it sets one.
   std::optional<token_count> mMaxTokens;
 };
 
--- a/Libraries/LibRequest/DecideRoute.cpp
+++ b/Libraries/LibRequest/DecideRoute.cpp
@@ -5,7 +5,7 @@
 namespace {
 
 refusal
-NoRoute(caller_request const& aRequest)
+NoRouteRefusal(caller_request const& aRequest)
 {
   if (aRequest.mKind == call_kind::Completion) {
     return refusal{ .mCode = refusal_code::UnknownModel,
@@ -17,7 +17,7 @@
                   .mMessage = "no route serves this path" };
 }
 
-// Fills in the workspace of the request's key, or says why there is none.
+// Sets the workspace of the request's key, or returns why the key is refused.
 std::optional<refusal>
 Authorize(config_tables const& aTables,
           caller_request const& aRequest,
@@ -52,7 +52,7 @@
   route_row const* const route =
     aTables.FindRoute(aRequest.Path(), aRequest.mCompletion.mModel);
   if (!route)
-    return NoRoute(aRequest);
+    return NoRouteRefusal(aRequest);
   pool_row const* const pool = aTables.FindPool(route->mPool);
   if (!pool) {
     return refusal{ .mCode = refusal_code::NoBackendServer,
--- a/Libraries/LibRequest/Refusal.h
+++ b/Libraries/LibRequest/Refusal.h
@@ -9,15 +9,15 @@
 
 namespace lycheeseam {
 
-/// An error answer to a caller. It always says whether the request may have
+/// An error answer to a caller; its verdict states whether the request may have
 /// run.
 struct refusal
 {
   refusal_code mCode = refusal_code::InvalidRequest;
   verdict mVerdict = verdict::NotRun;
-  /// One sentence for people.
+  /// A one-sentence explanation for human readers.
   std::string mMessage;
-  /// When a repeat is likely to fare better.
+  /// The Retry-After header's value, after which a repeat is likely to succeed.
   std::optional<std::chrono::seconds> mRetryAfter;
 };
 
--- a/Libraries/LibRequest/RefusalCode.h
+++ b/Libraries/LibRequest/RefusalCode.h
@@ -5,7 +5,8 @@
 
 namespace lycheeseam {
 
-/// Why a request gets no answer from a backend server.
+/// The reason why a request is answered with an error instead of a backend
+/// server's answer.
 enum class refusal_code
 {
   InvalidRequest,
@@ -34,7 +35,7 @@
 std::string_view
 RefusalName(refusal_code aCode);
 
-/// The HTTP status that goes with a code.
+/// The HTTP status of an answer with that code.
 std::uint16_t
 RefusalStatus(refusal_code aCode);
 
--- a/Libraries/LibRequest/TokenUsage.h
+++ b/Libraries/LibRequest/TokenUsage.h
@@ -4,12 +4,12 @@
 
 namespace lycheeseam {
 
-/// The tokens of one completion as its engine counted them.
+/// The token counts of one completion, as reported by its engine.
 struct token_usage
 {
   token_count mPrompt = 0;
   token_count mCompletion = 0;
-  /// The part of the prompt that came from the prefix cache.
+  /// The prompt tokens that were served from the engine's prefix cache.
   token_count mCached = 0;
 
   bool operator==(token_usage const&) const = default;
