--- a/Libraries/LibCore/BootClock.h
+++ b/Libraries/LibCore/BootClock.h
@@ -5,7 +5,7 @@
 namespace lycheeseam {
 
 /// A steady clock that also advances while the machine is suspended
-/// (CLOCK_BOOTTIME), so that a lease never looks younger than it is.
+/// (CLOCK_BOOTTIME), so that a lease's age includes the time of a suspension.
 struct boot_clock
 {
   using duration = std::chrono::nanoseconds;
@@ -14,7 +14,7 @@
   using time_point = std::chrono::time_point<boot_clock>;
   static constexpr bool is_steady = true;
 
-  /// The current time; its epoch is the start of the machine.
+  /// Returns the time since the machine booted.
   static time_point now() noexcept;
 };
 
--- a/Libraries/LibCore/ClockSource.h
+++ b/Libraries/LibCore/ClockSource.h
@@ -6,7 +6,8 @@
 
 namespace lycheeseam {
 
-/// Something that tells the time: the machine's clock or a test's.
+/// A source of the current time: the machine's clock, or a test's virtual
+/// clock.
 template<typename Clock>
 concept clock_source = requires(Clock const& aClock)
 {
--- a/Libraries/LibCore/Digest.cpp
+++ b/Libraries/LibCore/Digest.cpp
@@ -16,7 +16,8 @@
     return static_cast<std::uint8_t>(aDigit - '0');
   if (aDigit >= 'a' && aDigit <= 'f')
     return static_cast<std::uint8_t>(aDigit - 'a' + 10);
-  throw invalid_input("a digest has lower-case hexadecimal digits only");
+  throw invalid_input(
+    "a digest must contain only lower-case hexadecimal digits");
 }
 
 }
@@ -35,7 +36,7 @@
 digest::FromHex(std::string_view aHex)
 {
   if (aHex.size() != 2 * kBytes)
-    throw invalid_input("a digest has 64 hexadecimal digits");
+    throw invalid_input("a digest must have 64 hexadecimal digits");
   digest result;
   for (std::size_t i = 0; i < kBytes; ++i) {
     std::uint8_t const high = HexDigit(aHex[2 * i]);
--- a/Libraries/LibCore/Digest.h
+++ b/Libraries/LibCore/Digest.h
@@ -12,7 +12,8 @@
 
 namespace lycheeseam {
 
-/// A SHA-256 digest. Callers' keys and request bodies are known by it alone.
+/// A SHA-256 digest. Callers' keys and request bodies are identified only by
+/// their digests.
 class digest
 {
 public:
@@ -20,13 +21,14 @@
 
   digest() = default;
 
-  /// Hashes a text.
+  /// Computes the digest of a text.
   static digest Of(std::string_view aText);
 
-  /// Parses 64 hexadecimal digits; throws invalid_input on anything else.
+  /// Parses 64 lower-case hexadecimal digits; throws invalid_input on anything
+  /// else.
   static digest FromHex(std::string_view aHex);
 
-  /// The digest with these bytes.
+  /// Returns the digest with these bytes.
   static digest FromBytes(
     std::span<std::uint8_t const, kBytes> aBytes) noexcept;
 
@@ -39,7 +41,8 @@
     return mBytes;
   }
 
-  // The linter takes the zero that "<" is rewritten with for a pointer.
+  // "<" is rewritten to a comparison with 0, which the linter reports as a null
+  // pointer.
   // NOLINTNEXTLINE(modernize-use-nullptr)
   auto operator<=>(digest const&) const = default;
 
--- a/Libraries/LibCore/Error.h
+++ b/Libraries/LibCore/Error.h
@@ -4,7 +4,7 @@
 
 namespace lycheeseam {
 
-/// The base of every error that this project throws.
+/// The base class of all errors that this project throws.
 class error : public std::runtime_error
 {
 public:
--- a/Libraries/LibCore/FieldPresence.h
+++ b/Libraries/LibCore/FieldPresence.h
@@ -2,11 +2,11 @@
 
 namespace lycheeseam {
 
-/// Whether an object, or a settings file, may leave a field out.
+/// Whether a field may be missing in a JSON object or a settings file.
 enum class field_presence
 {
   Required,
-  /// A field left out keeps the value of a default-constructed struct.
+  /// A missing field keeps its default value.
   Optional,
 };
 
--- a/Libraries/LibCore/Identifier.h
+++ b/Libraries/LibCore/Identifier.h
@@ -8,7 +8,8 @@
 
 namespace lycheeseam {
 
-/// A name whose type says what it names; Tag keeps the kinds apart.
+/// A strongly typed name. Tag makes names of different things different types,
+/// so that they can't be mixed up.
 template<typename Tag>
 class identifier
 {
@@ -30,10 +31,11 @@
   /// The name as text.
   [[nodiscard]] std::string const& Text() const noexcept { return mText; }
 
-  /// True for a default-constructed identifier, which names nothing.
+  /// True for an identifier without text, such as a default-constructed one.
   [[nodiscard]] bool IsEmpty() const noexcept { return mText.empty(); }
 
-  // The linter takes the zero that "<" is rewritten with for a pointer.
+  // "<" is rewritten to a comparison with 0, which the linter reports as a null
+  // pointer.
   // NOLINTNEXTLINE(modernize-use-nullptr)
   auto operator<=>(identifier const&) const = default;
 
--- a/Libraries/LibCore/Identifiers.h
+++ b/Libraries/LibCore/Identifiers.h
@@ -5,57 +5,61 @@
 
 #include <cstdint>
 
-/// \file The names and counters that cross package borders.
+/// \file The identifier and counter types that several libraries share.
 
 namespace lycheeseam {
 
-/// A customer: who pays for a request and whose cache scope it has.
+/// A customer, which is charged for its requests and may have a prefix cache
+/// scope of its own.
 using workspace_id = identifier<struct workspace_tag>;
 
-/// A row of the table of routes.
+/// The name of a row in the table of routes.
 using route_name = identifier<struct route_tag>;
 
-/// A row of the table of pools.
+/// The name of a row in the table of pools.
 using pool_name = identifier<struct pool_tag>;
 
 /// One backend server of a pool.
 using backend_server_id = identifier<struct backend_server_tag>;
 
-/// One entry instance that runs lycheeseamd.
+/// One instance of lycheeseamd.
 using instance_id = identifier<struct instance_tag>;
 
-/// A part of the site that fails as one.
+/// A part of the site whose machines can fail together, such as a zone.
 using failure_domain = identifier<struct failure_domain_tag>;
 
-/// A model as callers name it.
+/// A model's name, as callers send it.
 using model_name = identifier<struct model_tag>;
 
-/// A version of a model's weights; cached blocks never outlive it.
+/// A version of a model's weights. Cached blocks of one version are never used
+/// with another.
 using weights_version = identifier<struct weights_version_tag>;
 
-/// A request's identity over all hops; unique for the fleet.
+/// A request's id on all hops; unique in the fleet.
 using request_id = identifier<struct request_tag>;
 
-/// A caller's Idempotency-Key.
+/// The value of a caller's Idempotency-Key header.
 using idempotency_key = identifier<struct idempotency_tag>;
 
-/// A position in the platform's log; the first record has offset 1.
+/// A position in the platform's log. The first record has offset 1; 0 stands
+/// before it.
 using log_offset = ordinal<struct log_offset_tag>;
 
-/// One life of a process; a restart has a larger one.
+/// The number of one run of a process; it grows with each restart.
 using incarnation = ordinal<struct incarnation_tag>;
 
-/// A row's version: the offset of the record that wrote it, 0 for no row.
+/// A table row's version: the log offset of the record that wrote the row, 0 if
+/// there is no row.
 using row_version = ordinal<struct row_version_tag>;
 
 /// A position in one engine's stream of cache events.
 using event_sequence = ordinal<struct event_sequence_tag>;
 
-/// Proves to an engine that an order is the newest: the offset of the record
-/// that granted the lease.
+/// A fencing token: the log offset of the record that granted a lease. Engines
+/// refuse orders with a smaller number than one that they have seen.
 using fencing_number = ordinal<struct fencing_tag>;
 
-/// A number of tokens; signed, since balances may go below zero.
+/// A number of tokens; signed, because balances may be negative.
 using token_count = std::int64_t;
 
 }
--- a/Libraries/LibCore/InvalidInput.h
+++ b/Libraries/LibCore/InvalidInput.h
@@ -4,7 +4,7 @@
 
 namespace lycheeseam {
 
-/// Input from outside breaks a rule; the message says which one.
+/// External input is invalid; the message names the rule that it breaks.
 class invalid_input : public error
 {
 public:
--- a/Libraries/LibCore/Mailbox.h
+++ b/Libraries/LibCore/Mailbox.h
@@ -6,17 +6,18 @@
 
 namespace lycheeseam {
 
-/// What wakes the thread that drains a mailbox.
+/// A function object that wakes the thread that drains a mailbox.
 template<typename Wake>
 concept mailbox_wake = requires(Wake& aWake)
 {
   aWake();
 };
 
-/// Hands typed messages from any thread to the one that drains it.
+/// A queue that passes messages from any thread to the one thread that drains
+/// it.
 ///
-/// The wake is called only by the post that finds the mailbox empty, so a
-/// busy receiver costs its senders no system calls.
+/// Only the Post that finds the mailbox empty calls the wake function, so that
+/// senders make no system calls while the receiver has messages left.
 template<typename Message, mailbox_wake Wake>
 class mailbox
 {
@@ -39,7 +40,8 @@
       mWake();
   }
 
-  /// Takes all waiting messages in the order of their posts.
+  /// Takes all waiting messages, in the order in which they were posted. Called
+  /// by the receiving thread.
   [[nodiscard]] std::vector<Message> Drain()
   {
     std::vector<Message> taken;
--- a/Libraries/LibCore/Ordinal.h
+++ b/Libraries/LibCore/Ordinal.h
@@ -6,7 +6,8 @@
 
 namespace lycheeseam {
 
-/// A counter whose type says what it counts; Tag keeps the kinds apart.
+/// A strongly typed counter. Tag makes counters of different things different
+/// types, so that they can't be mixed up.
 template<typename Tag>
 class ordinal
 {
@@ -17,19 +18,20 @@
   {
   }
 
-  /// The count itself.
+  /// The counter's value.
   [[nodiscard]] constexpr std::uint64_t Value() const noexcept
   {
     return mValue;
   }
 
-  /// The ordinal that follows this one.
+  /// Returns the next ordinal.
   [[nodiscard]] constexpr ordinal Next() const noexcept
   {
     return ordinal{ mValue + 1 };
   }
 
-  // Spelled out: the linter takes a defaulted one for a null pointer.
+  // Not defaulted, because the linter reports a defaulted one as a use of a
+  // null pointer.
   constexpr std::strong_ordering operator<=>(ordinal const& aOther) const
   {
     return mValue <=> aOther.mValue;
--- a/Libraries/LibCore/Published.h
+++ b/Libraries/LibCore/Published.h
@@ -6,8 +6,9 @@
 
 namespace lycheeseam {
 
-/// The newest immutable snapshot that the control thread hands to traffic
-/// threads. Readers keep what they took for as long as they need it.
+/// Holds the newest immutable snapshot that the control thread publishes to the
+/// traffic threads. All functions are safe from any thread; a reader's snapshot
+/// stays valid while the reader holds it.
 template<typename Snapshot>
 class published
 {
@@ -17,7 +18,7 @@
   {
   }
 
-  /// The newest snapshot; never null.
+  /// Returns the newest snapshot; never null.
   [[nodiscard]] std::shared_ptr<Snapshot const> Current() const
   {
     std::lock_guard const lock{ mMutex };
@@ -27,14 +28,15 @@
   /// Replaces the snapshot for all later readers.
   void Publish(std::shared_ptr<Snapshot const> aNext)
   {
-    // The old snapshot may be large; it is freed outside the lock.
+    // The swap leaves the old snapshot in aNext: it may be large and is freed
+    // after the lock is released.
     std::lock_guard const lock{ mMutex };
     mCurrent.swap(aNext);
   }
 
 private:
-  // A mutex rather than std::atomic<std::shared_ptr>, which spins in this
-  // compiler's library; a reader holds it for one reference count.
+  // A mutex instead of std::atomic<std::shared_ptr>, which spins in this
+  // compiler's library. A reader holds it only while it copies the pointer.
   mutable std::mutex mMutex;
   std::shared_ptr<Snapshot const> mCurrent;
 };
--- a/Libraries/LibCore/SystemClock.h
+++ b/Libraries/LibCore/SystemClock.h
@@ -4,10 +4,10 @@
 
 namespace lycheeseam {
 
-/// The clock source of a running process.
+/// The clock source of production code.
 struct system_clock
 {
-  /// The boot clock's current reading.
+  /// The current time on the boot clock.
   [[nodiscard]] instant Now() const noexcept { return boot_clock::now(); }
 };
 
--- a/Libraries/LibCore/TimeOfDay.h
+++ b/Libraries/LibCore/TimeOfDay.h
@@ -4,8 +4,8 @@
 
 namespace lycheeseam {
 
-/// The wall clock's time since 1970. It may jump and differs between machines;
-/// nothing but records that outlive a process is told by it.
+/// Returns the wall clock's time since 1970-01-01 UTC. It may jump and differs
+/// between machines, so it only serves data that outlives a process.
 std::chrono::milliseconds
 TimeOfDay();
 
--- a/Libraries/LibCore/Verdict.h
+++ b/Libraries/LibCore/Verdict.h
@@ -6,8 +6,8 @@
 
 /// Whether a request may have run on a backend server.
 ///
-/// Every failure that a caller sees carries one of these; a retry of
-/// non-idempotent work is allowed after NotRun only.
+/// Every error answer to a caller contains a verdict. A non-idempotent request
+/// may only be retried after NotRun.
 enum class verdict
 {
   NotRun,
--- a/Libraries/LibCore/VirtualClock.h
+++ b/Libraries/LibCore/VirtualClock.h
@@ -4,17 +4,17 @@
 
 namespace lycheeseam {
 
-/// A clock source that only moves when told to; tests and benchmarks use it.
+/// A clock source for tests and benchmarks, which advances only when set.
 class virtual_clock
 {
 public:
-  /// The instant last set; starts at the epoch.
+  /// The current virtual time; starts at the epoch.
   [[nodiscard]] instant Now() const noexcept { return mNow; }
 
   /// Moves the clock forward.
   void Advance(duration aSpan) noexcept { mNow += aSpan; }
 
-  /// Moves the clock to an instant, also backwards.
+  /// Sets the clock to an instant, which may lie in the past.
   void SetNow(instant aNow) noexcept { mNow = aNow; }
 
 private:
--- a/Tests/LibCodec/TestConfigFileCodec.cpp
+++ b/Tests/LibCodec/TestConfigFileCodec.cpp
@@ -31,7 +31,7 @@
   EXPECT_EQ(FaultOf(R"({"pools":[{"name":"p","kind":"model","servers":[
     {"id":"a","address":"localhost:80","failure_domain":"d"}]}]})"),
             "$.pools[0].servers[0].address: \"localhost:80\" is refused; "
-            "an endpoint's host is an IP number, not a name");
+            "an endpoint's host must be an IP address, not a name");
   EXPECT_EQ(FaultOf(R"({"routes":[{"name":"r","path_prefix":"/","pool":"p",
     "access":"public"}]})"),
             "$.routes[0].access: \"public\" is refused; one of these is "
--- a/Tests/LibCore/TestDigest.cpp
+++ b/Tests/LibCore/TestDigest.cpp
@@ -6,7 +6,7 @@
 namespace lycheeseam {
 namespace {
 
-TEST(TestDigest, HexRoundTrip)
+TEST(TestDigest, HexRoundTripKeepsTheDigest)
 {
   digest const original = digest::Of("abc");
   EXPECT_EQ(original.Hex(),
@@ -14,7 +14,7 @@
   EXPECT_EQ(digest::FromHex(original.Hex()), original);
 }
 
-TEST(TestDigest, RefusesBadHex)
+TEST(TestDigest, FromHexRefusesWrongLengthsAndDigits)
 {
   EXPECT_THROW(digest::FromHex("ab"), invalid_input);
   EXPECT_THROW(digest::FromHex(std::string(64, 'G')), invalid_input);
--- a/Tests/LibCore/TestEndpoint.cpp
+++ b/Tests/LibCore/TestEndpoint.cpp
@@ -6,13 +6,13 @@
 namespace lycheeseam {
 namespace {
 
-TEST(TestEndpoint, RoundTrip)
+TEST(TestEndpoint, ParseAndTextRoundTripForIpv4AndIpv6)
 {
   EXPECT_EQ(endpoint::Parse("127.0.0.1:8080").Text(), "127.0.0.1:8080");
   EXPECT_EQ(endpoint::Parse("[::1]:8080").Text(), "[::1]:8080");
 }
 
-TEST(TestEndpoint, RefusesNamesAndBadPorts)
+TEST(TestEndpoint, ParseRefusesHostNamesAndInvalidPorts)
 {
   EXPECT_THROW(endpoint::Parse("localhost:80"), invalid_input);
   EXPECT_THROW(endpoint::Parse("127.0.0.1"), invalid_input);
--- a/Tests/LibCore/TestMailbox.cpp
+++ b/Tests/LibCore/TestMailbox.cpp
@@ -5,7 +5,7 @@
 namespace lycheeseam {
 namespace {
 
-TEST(TestMailbox, WakesOnceUntilDrained)
+TEST(TestMailbox, CallsWakeOnceUntilDrained)
 {
   int wakes = 0;
   auto const wake = [&wakes]() { ++wakes; };
