--- a/Libraries/LibPlatform/AppendEnd.h
+++ b/Libraries/LibPlatform/AppendEnd.h
@@ -2,15 +2,15 @@
 
 namespace lycheeseam {
 
-/// The definite end of an append.
+/// The final outcome of a submitted record.
 enum class append_end
 {
-  /// The record counts; its entry has been applied.
-  Landed,
-  /// The record doesn't count and never will.
-  NotLanded,
-  /// The state jumped over the offsets where the record may have landed: only
-  /// the fold can tell.
+  /// The record is in the log in time, and its entry has been applied.
+  Applied,
+  /// No copy of the record has been or will be applied.
+  NotApplied,
+  /// A checkpoint replaced the offsets where the record may be, so its entry
+  /// was never seen; only the fold's state shows whether it was applied.
   Skipped,
 };
 
--- a/Libraries/LibPlatform/AppendOutcome.h
+++ b/Libraries/LibPlatform/AppendOutcome.h
@@ -6,12 +6,12 @@
 
 namespace lycheeseam {
 
-/// What became of a submitted record.
+/// A submitted record's id with its final outcome.
 struct append_outcome
 {
   proposal_id mProposal;
-  append_end mEnd = append_end::NotLanded;
-  /// Where it landed; 0 unless it did.
+  append_end mEnd = append_end::NotApplied;
+  /// The offset of the applied entry; 0 unless it was applied.
   log_offset mOffset;
 
   bool operator==(append_outcome const&) const = default;
--- a/Libraries/LibPlatform/AppendReply.h
+++ b/Libraries/LibPlatform/AppendReply.h
@@ -4,7 +4,7 @@
 
 namespace lycheeseam {
 
-/// The platform's answer to an append.
+/// The body of the platform's answer to an append.
 struct append_reply
 {
   log_offset mOffset;
--- a/Libraries/LibPlatform/AppendResult.h
+++ b/Libraries/LibPlatform/AppendResult.h
@@ -5,11 +5,11 @@
 
 namespace lycheeseam {
 
-/// The end of one append.
+/// The result of one append call to the log.
 struct append_result
 {
   append_status mStatus = append_status::Unknown;
-  /// Where the record stands; 0 unless it was accepted.
+  /// The record's offset; 0 unless it was accepted.
   log_offset mOffset;
 
   bool operator==(append_result const&) const = default;
--- a/Libraries/LibPlatform/AppendStatus.h
+++ b/Libraries/LibPlatform/AppendStatus.h
@@ -2,14 +2,14 @@
 
 namespace lycheeseam {
 
-/// What an author knows about an append.
+/// What the answer to an append call shows about the record.
 enum class append_status
 {
-  /// The record has an offset.
+  /// The log has stored the record and given it an offset.
   Accepted,
-  /// The record surely never reached the log.
+  /// The request was not sent, so the record is not in the log.
   NotSent,
-  /// The answer was lost: the record may be in the log, or land later.
+  /// No valid answer arrived: the record may be in the log, or be stored later.
   Unknown,
 };
 
--- a/Libraries/LibPlatform/AppenderOptions.h
+++ b/Libraries/LibPlatform/AppenderOptions.h
@@ -7,20 +7,21 @@
 
 namespace lycheeseam {
 
-/// Who appends, and how lost answers are settled.
+/// The author of the records, and the limits for retrying appends.
 struct appender_options
 {
   instance_id mInstance;
   incarnation mIncarnation;
-  /// How far beyond the known tail a record may still count, in offsets.
+  /// How far beyond the known tail a record may still be applied, in offsets.
   std::uint64_t mWindow = 512;
-  /// How long a record is sent again after lost answers.
+  /// How long failed appends of a record are retried.
   std::chrono::milliseconds mGiveUpAfter{ 5000 };
-  /// The pause after a lost answer; doubled with each further one.
+  /// The backoff after the first failure; doubled with each further one up to
+  /// mLongestBackoff.
   std::chrono::milliseconds mFirstBackoff{ 50 };
   std::chrono::milliseconds mLongestBackoff{ 1000 };
-  /// The most no-operations under way to move an idle log on.
-  std::uint32_t mMaxIdleMoves = 16;
+  /// The most no-operations in flight that advance an idle log.
+  std::uint32_t mMaxIdleAppends = 16;
 };
 
 }
--- a/Libraries/LibPlatform/Backoff.h
+++ b/Libraries/LibPlatform/Backoff.h
@@ -6,7 +6,7 @@
 
 namespace lycheeseam {
 
-/// The pause after failures, doubled with each one up to a bound.
+/// Exponential backoff: the delay after a failure doubles up to a limit.
 class backoff
 {
 public:
@@ -17,24 +17,24 @@
   {
   }
 
-  /// A try has failed: the next one waits.
+  /// Records a failed attempt and delays the next one.
   void Fail(instant aNow)
   {
     mUntil = aNow + mNext;
     mNext = std::min(2 * mNext, mLongest);
   }
 
-  /// A try has succeeded: the next pause is the first one again.
+  /// Records a successful attempt and resets the delay to the first one.
   void Succeed()
   {
     mNext = mFirst;
     mUntil = {};
   }
 
-  /// True when the next try may start.
+  /// True when the next attempt may start.
   [[nodiscard]] bool IsOver(instant aNow) const { return aNow >= mUntil; }
 
-  /// When the next try may start.
+  /// When the next attempt may start.
   [[nodiscard]] instant Until() const { return mUntil; }
 
 private:
--- a/Libraries/LibPlatform/CallbackPoster.h
+++ b/Libraries/LibPlatform/CallbackPoster.h
@@ -5,8 +5,7 @@
 
 namespace lycheeseam {
 
-/// Runs a closure later on the thread that owns a client; callable from any
-/// thread.
+/// Posts a callback to the thread that owns a client. Any thread may call it.
 template<typename Poster>
 concept callback_poster = std::copy_constructible<Poster> &&
   requires(Poster const& aPoster, std::function<void()> aCallback)
--- a/Libraries/LibPlatform/CheckpointOptions.h
+++ b/Libraries/LibPlatform/CheckpointOptions.h
@@ -8,11 +8,14 @@
 /// When an instance appends a checkpoint.
 struct checkpoint_options
 {
-  /// How many offsets a checkpoint may be behind.
+  /// How far the newest checkpoint may lag behind the applied offset, in
+  /// offsets.
   std::uint64_t mInterval = 2000;
-  /// How old the newest checkpoint may be: also an idle log forgets.
+  /// How old the newest checkpoint may be; retention drops records of an idle
+  /// log too.
   std::chrono::milliseconds mLongestAge{ 600'000 };
-  /// The time over which instances spread, so that mostly one appends.
+  /// The longest random delay before an append. It spreads the instances, so
+  /// that mostly one of them appends.
   std::chrono::milliseconds mSpread{ 5000 };
 };
 
--- a/Libraries/LibPlatform/CheckpointPolicy.cpp
+++ b/Libraries/LibPlatform/CheckpointPolicy.cpp
@@ -7,9 +7,9 @@
 
 namespace {
 
-/// A checkpoint in the oldest part of the log is soon forgotten: the part is
-/// one in so many.
-constexpr std::uint64_t kOldestPart = 3;
+/// A checkpoint in the oldest 1/3 of the retained log counts as about to be
+/// dropped by retention.
+constexpr std::uint64_t kOldestShareDivisor = 3;
 
 }
 
@@ -27,7 +27,7 @@
   if (!found || found->mCovers < mCovers)
     return;
   mCovers = found->mCovers;
-  mPlace = aEntry.mOffset;
+  mRecordOffset = aEntry.mOffset;
   mIsNew = true;
 }
 
@@ -35,8 +35,10 @@
 checkpoint_policy::OnJump(log_offset aCovers)
 {
   mCovers = std::max(mCovers, aCovers);
-  // Its place is somewhere behind; the earliest it can be is on the safe side.
-  mPlace = mCovers.Next();
+  // The checkpoint's own offset is unknown but higher than what it covers. The
+  // lowest possible one is assumed, so that retention doesn't drop it
+  // unnoticed.
+  mRecordOffset = mCovers.Next();
   mIsNew = true;
 }
 
@@ -53,11 +55,12 @@
     return false;
   }
   if (!mDueAt)
-    mDueAt = RandomlyAfter(aNow);
+    mDueAt = AddJitter(aNow);
   if (aNow < *mDueAt)
     return false;
-  // Until this one is seen in the log, another is tried a full spread later.
-  mDueAt = RandomlyAfter(aNow + mOptions.mSpread);
+  // If this checkpoint doesn't appear in the log, the next attempt follows at
+  // least mSpread later.
+  mDueAt = AddJitter(aNow + mOptions.mSpread);
   return true;
 }
 
@@ -80,13 +83,13 @@
     return false;
   std::uint64_t const earliest = aRange.mEarliest.Value();
   std::uint64_t const tail = std::max(aRange.mTail.Value(), earliest);
-  // The records after what it covers have to stay too.
-  std::uint64_t const oldest = std::min(mCovers.Value(), mPlace.Value());
-  return oldest < earliest + (tail - earliest) / kOldestPart;
+  // The records after the covered offset have to be retained too.
+  std::uint64_t const oldest = std::min(mCovers.Value(), mRecordOffset.Value());
+  return oldest < earliest + (tail - earliest) / kOldestShareDivisor;
 }
 
 instant
-checkpoint_policy::RandomlyAfter(instant aNow)
+checkpoint_policy::AddJitter(instant aNow)
 {
   std::uniform_int_distribution<std::int64_t> distribution{
     0, mOptions.mSpread.count()
--- a/Libraries/LibPlatform/CheckpointPolicy.h
+++ b/Libraries/LibPlatform/CheckpointPolicy.h
@@ -12,18 +12,20 @@
 
 namespace lycheeseam {
 
-/// Decides when this instance appends a checkpoint. Any instance may; each
-/// waits a random while, and leaves it when another's has come.
+/// Decides when this instance appends a checkpoint. Any instance may append
+/// one; each waits for a random delay and cancels when another instance's
+/// checkpoint arrives first.
 class checkpoint_policy
 {
 public:
-  /// The seed tells instances apart.
+  /// The seed of the random delays differs between instances.
   checkpoint_policy(checkpoint_options aOptions, std::uint64_t aSeed);
 
-  /// Takes note of checkpoints in the log.
+  /// Records the entry if it is a checkpoint.
   void OnEntry(log_entry const& aEntry);
 
-  /// The state came from a checkpoint that covers all up to an offset.
+  /// Records that the state was loaded from a checkpoint that covers all
+  /// entries up to an offset.
   void OnJump(log_offset aCovers);
 
   /// True when a checkpoint should be appended now.
@@ -34,13 +36,13 @@
                               log_offset aApplied,
                               log_range aRange) const;
   [[nodiscard]] bool IsLeavingRetention(log_range aRange) const;
-  instant RandomlyAfter(instant aNow);
+  instant AddJitter(instant aNow);
 
   checkpoint_options mOptions;
   std::mt19937_64 mRandom;
-  /// The newest checkpoint seen: what it covers and where it stands.
+  /// The newest checkpoint: the last offset it covers and its own offset.
   log_offset mCovers;
-  log_offset mPlace;
+  log_offset mRecordOffset;
   bool mIsNew = true;
   instant mSeenAt{};
   std::optional<instant> mDueAt;
--- a/Libraries/LibPlatform/CheckpointSearch.cpp
+++ b/Libraries/LibPlatform/CheckpointSearch.cpp
@@ -7,7 +7,8 @@
 
 namespace {
 
-constexpr std::uint64_t kGrowth = 4;
+/// The factor by which each window is larger than the one before.
+constexpr std::uint64_t kWindowGrowth = 4;
 
 }
 
@@ -44,7 +45,7 @@
 }
 
 void
-checkpoint_search::RefuseBest()
+checkpoint_search::DiscardBest()
 {
   mFound.pop_back();
 }
@@ -55,7 +56,7 @@
   if (mFrom <= mRange.mEarliest)
     return false;
   mEnd = log_offset{ mFrom.Value() - 1 };
-  mWindow *= kGrowth;
+  mWindow *= kWindowGrowth;
   Begin();
   return true;
 }
@@ -72,13 +73,14 @@
 void
 checkpoint_search::AddCheckpoint(checkpoint const& aCheckpoint)
 {
-  // What it doesn't cover must still be in the log.
+  // The records after the covered offset must still be in the log.
   if (aCheckpoint.mCovers.Next() < mRange.mEarliest)
     return;
-  // Late ones are older than their place; the one that covers most is last.
-  auto const place = std::ranges::upper_bound(
+  // A checkpoint appended late may cover less than one before it in the log, so
+  // the list is sorted by covered offset.
+  auto const position = std::ranges::upper_bound(
     mFound, aCheckpoint.mCovers, {}, &checkpoint::mCovers);
-  mFound.insert(place, aCheckpoint);
+  mFound.insert(position, aCheckpoint);
 }
 
 }
--- a/Libraries/LibPlatform/CheckpointSearch.h
+++ b/Libraries/LibPlatform/CheckpointSearch.h
@@ -10,32 +10,34 @@
 
 namespace lycheeseam {
 
-/// Looks for the newest checkpoint, from near the tail back to the earliest
-/// record in growing windows, so that a start costs little however long the
-/// log is.
+/// Searches the log for the newest checkpoint, from the tail back to the
+/// earliest record in windows of growing size, so that a start reads few
+/// records however long the log is.
 class checkpoint_search
 {
 public:
-  /// Begins in a log of that range, with a first window in offsets.
+  /// Starts with the window of the newest offsets; aWindow is its size in
+  /// offsets.
   checkpoint_search(log_range aRange, std::uint64_t aWindow);
 
-  /// Where to read next, or nothing when this window is done.
+  /// The offset to read next; nothing when the window has been read.
   [[nodiscard]] std::optional<log_offset> Next() const;
 
-  /// Takes the entries read from Next on.
+  /// Adds the entries read from the offset Next() on.
   void Add(std::span<log_entry const> aEntries);
 
-  /// The best checkpoint found; null when there is none.
+  /// The checkpoint found that covers most; null when there is none.
   [[nodiscard]] checkpoint const* Best() const;
 
-  /// Leaves out the best one, which could not be loaded.
-  void RefuseBest();
+  /// Discards the best checkpoint after it failed to load.
+  void DiscardBest();
 
-  /// Goes on with a larger window; false when the whole log was searched.
+  /// Continues with a larger window of older records; false when the search has
+  /// reached the earliest record.
   bool Widen();
 
   /// True when the log still has its first record.
-  [[nodiscard]] bool HasWholeLog() const noexcept
+  [[nodiscard]] bool HasCompleteLog() const noexcept
   {
     return mRange.mEarliest == log_offset{ 1 };
   }
@@ -48,9 +50,9 @@
   std::uint64_t mWindow;
   log_offset mFrom;
   log_offset mNext;
-  // Beyond this offset an earlier window has been.
+  // The window's last offset; the previous windows covered those beyond it.
   log_offset mEnd;
-  // Those found in the windows so far; the last one covers most.
+  // The checkpoints found so far, by covered offset; the last covers most.
   std::vector<checkpoint> mFound;
 };
 
--- a/Libraries/LibPlatform/CheckpointWriter.h
+++ b/Libraries/LibPlatform/CheckpointWriter.h
@@ -7,8 +7,9 @@
 
 namespace lycheeseam {
 
-/// Appends checkpoints of a state to its log. Lost answers need no care: a
-/// double or late checkpoint does no harm, and a missing one is due again.
+/// Appends checkpoints of a state to its log. The results of the appends are
+/// ignored: a duplicate or late checkpoint does no harm, and a missing one
+/// becomes due again.
 template<log_service Log, replicated_state State>
 class checkpoint_writer
 {
@@ -23,7 +24,7 @@
   {
   }
 
-  /// Appends a checkpoint when one is due; to be called now and then.
+  /// Appends a checkpoint when one is due. The owner calls this periodically.
   void Advance(instant aNow, log_range aRange)
   {
     if (!mPolicy.IsDue(aNow, mState.Offset(), aRange))
@@ -33,10 +34,10 @@
     mLog.Append(record, [](append_result const&) {});
   }
 
-  /// An entry was applied.
+  /// Tells the policy that an entry was applied.
   void OnEntry(log_entry const& aEntry) { mPolicy.OnEntry(aEntry); }
 
-  /// The state jumped to a checkpoint.
+  /// Tells the policy that the state was loaded from a checkpoint.
   void OnJump(log_offset aCovers) { mPolicy.OnJump(aCovers); }
 
 private:
--- a/Libraries/LibPlatform/FollowerOptions.h
+++ b/Libraries/LibPlatform/FollowerOptions.h
@@ -5,13 +5,14 @@
 
 namespace lycheeseam {
 
-/// How a follower reads the log.
+/// Sizes, waits and backoff of a follower's reads of the log.
 struct follower_options
 {
   std::uint32_t mMaxRecords = 256;
-  /// How long a read waits at the log for something new.
+  /// How long the log may hold a read back until there is a new record.
   std::chrono::milliseconds mMaxWait{ 1000 };
-  /// The pause after a failed read; doubled with each further one.
+  /// The backoff after the first failed read; doubled with each further one up
+  /// to mLongestBackoff.
   std::chrono::milliseconds mFirstBackoff{ 50 };
   std::chrono::milliseconds mLongestBackoff{ 2000 };
   /// How far before the tail the search for a checkpoint begins, in offsets.
--- a/Libraries/LibPlatform/FollowerPhase.h
+++ b/Libraries/LibPlatform/FollowerPhase.h
@@ -2,14 +2,14 @@
 
 namespace lycheeseam {
 
-/// What a follower is doing.
+/// The phases of a log_follower.
 enum class follower_phase
 {
-  /// Asks for the log's range, to search for a checkpoint in it.
+  /// Requests the log's range, to search for a checkpoint in it.
   Locating,
   /// Reads the newest records in search of a checkpoint.
   Searching,
-  /// Reads records as they come.
+  /// Reads and applies records as they are appended.
   Following,
 };
 
--- a/Libraries/LibPlatform/HttpCall.h
+++ b/Libraries/LibPlatform/HttpCall.h
@@ -13,7 +13,7 @@
   http_method mMethod = http_method::Get;
   std::string mUrl;
   std::string mBody;
-  /// The bound on the whole transfer, connecting included.
+  /// The time limit of the transfer, including the connection setup.
   std::chrono::milliseconds mTimeout{ 2000 };
 };
 
--- a/Libraries/LibPlatform/HttpReply.h
+++ b/Libraries/LibPlatform/HttpReply.h
@@ -6,11 +6,11 @@
 
 namespace lycheeseam {
 
-/// The end of one HTTP call.
+/// The result of one HTTP call.
 struct http_reply
 {
   transfer_end mEnd = transfer_end::NoAnswer;
-  /// The HTTP status; 0 unless answered.
+  /// The HTTP status; 0 unless mEnd is Answered.
   long mStatus = 0;
   std::string mBody;
 };
--- a/Libraries/LibPlatform/HttpTransfer.cpp
+++ b/Libraries/LibPlatform/HttpTransfer.cpp
@@ -10,7 +10,7 @@
   , mHandle(curl_easy_init(), &curl_easy_cleanup)
 {
   if (!mHandle)
-    throw error("libcurl gave no handle");
+    throw error("curl_easy_init failed to create a transfer handle");
   CURL* const curl = mHandle.get();
   long const timeout = static_cast<long>(mCall.mTimeout.count());
   curl_easy_setopt(curl, CURLOPT_URL, mCall.mUrl.c_str());
--- a/Libraries/LibPlatform/HttpTransfer.h
+++ b/Libraries/LibPlatform/HttpTransfer.h
@@ -10,21 +10,23 @@
 
 namespace lycheeseam {
 
-/// One call on its way: owns the libcurl handle and what it points to.
+/// One HTTP call in progress. It owns the libcurl handle and the buffers that
+/// the handle points to.
 class http_transfer
 {
 public:
   using completion = std::function<void(http_reply)>;
 
+  /// Sets up the handle; throws error when libcurl can't create one.
   http_transfer(http_call aCall, completion aDone);
 
-  /// The handle, for the multi interface.
+  /// The handle, for libcurl's multi interface.
   [[nodiscard]] CURL* Handle() const noexcept { return mHandle.get(); }
 
   /// The transfer that a handle belongs to.
   static http_transfer& Of(CURL* aHandle);
 
-  /// Tells the caller how the transfer ended.
+  /// Passes the result of the transfer to the completion.
   void Finish(CURLcode aCode);
 
 private:
--- a/Libraries/LibPlatform/InstanceList.h
+++ b/Libraries/LibPlatform/InstanceList.h
@@ -6,7 +6,7 @@
 
 namespace lycheeseam {
 
-/// The platform's list as it was some time ago.
+/// The platform's list of instances, which may lag behind the present.
 struct instance_list
 {
   std::vector<listed_instance> mInstances;
--- a/Libraries/LibPlatform/InstanceState.h
+++ b/Libraries/LibPlatform/InstanceState.h
@@ -2,11 +2,12 @@
 
 namespace lycheeseam {
 
-/// What the platform's list says of an instance.
+/// The state of an instance in the platform's list.
 enum class instance_state
 {
   Live,
-  /// Finishes what it has and takes nothing new once callers know.
+  /// The instance finishes its requests, and gets no new ones once callers have
+  /// seen this state.
   Leaving,
 };
 
--- a/Libraries/LibPlatform/ListedInstance.h
+++ b/Libraries/LibPlatform/ListedInstance.h
@@ -6,14 +6,14 @@
 
 namespace lycheeseam {
 
-/// One line of the platform's lagging list of instances.
+/// One entry of the platform's list of instances, which may lag.
 struct listed_instance
 {
   instance_id mId;
   incarnation mIncarnation;
-  /// Where callers connect.
+  /// The address for callers.
   endpoint mCallers;
-  /// Where other instances connect.
+  /// The address for other instances.
   endpoint mPeers;
   failure_domain mFailureDomain;
   instance_state mState = instance_state::Live;
--- a/Libraries/LibPlatform/LogAppender.h
+++ b/Libraries/LibPlatform/LogAppender.h
@@ -16,13 +16,14 @@
 
 namespace lycheeseam {
 
-/// Appends records and finds out for certain what became of each. It hears of
-/// applied entries as a follower's observer, and must outlive the callbacks
-/// that it gave to the log.
+/// Appends records and determines the final outcome of each. Its owner passes
+/// it the applied entries and jumps that a follower reports to its observer.
+/// It must outlive the callbacks that it gave to the log.
 ///
-/// A record whose answer was lost is sent again under the same proposal id:
-/// folds take the first copy only. When that is given up, the record's end is
-/// known once its last offset has been applied; an idle log is moved there.
+/// A record whose append failed is sent again under the same proposal id: folds
+/// apply the first copy only. After the retries end, the outcome is known once
+/// the record's last offset has been applied; an idle log is advanced up to it
+/// with no-operations.
 template<log_service Log>
 class log_appender
 {
@@ -34,8 +35,9 @@
   {
   }
 
-  /// Fills in the record's origin and sends it. The callback runs when its
-  /// end is definite, after the folds have applied it. Returns its id.
+  /// Fills in the record's origin and sends it. The callback runs when the
+  /// outcome is final, after the folds have applied the entry, if any. Returns
+  /// the proposal id.
   proposal_id Submit(log_record aRecord, instant aNow, outcome_callback aDone)
   {
     record_origin const origin = NextOrigin();
@@ -52,8 +54,8 @@
     return origin.mProposal;
   }
 
-  /// Sends again what is due, with the log's tail as last heard. Returns when
-  /// to call again at the latest.
+  /// Sends the records again that are due; aTail is the last known tail of the
+  /// log. Returns when to call again at the latest.
   std::optional<instant> Advance(instant aNow, log_offset aTail)
   {
     mTail = std::max(mTail, aTail);
@@ -61,44 +63,45 @@
     std::vector<proposal_id> ended;
     log_offset wanted;
     for (auto& [proposal, pending] : mPending) {
-      NoteFailure(pending, aNow);
+      StartBackoff(pending, aNow);
       if (pending.mIsSending || pending.mAcceptedAt > log_offset{})
         continue;
       if (aNow < pending.mGiveUpAt)
         SendWhenDue(pending, aNow, next);
-      else if (pending.mMayLand)
+      else if (pending.mMayBeInLog)
         wanted = std::max(wanted, pending.mLastOffset);
       else
         ended.push_back(proposal);
     }
     for (proposal_id const& proposal : ended)
-      Finish(proposal, append_end::NotLanded, {});
+      Finish(proposal, append_end::NotApplied, {});
     if (wanted > mTail)
-      MoveIdleLog(wanted, aNow, next);
+      AdvanceIdleLog(wanted, aNow, next);
     return next;
   }
 
-  /// An entry was applied.
+  /// Takes an applied entry and finishes the records whose outcome it decides.
   void OnEntry(log_entry const& aEntry)
   {
-    Raise(aEntry.mOffset);
+    RaiseOffsets(aEntry.mOffset);
     proposal_id const proposal = OriginOf(aEntry.mRecord).mProposal;
     auto const found = mPending.find(proposal);
     if (found != mPending.end() && aEntry.mOffset <= found->second.mLastOffset)
-      Finish(proposal, append_end::Landed, aEntry.mOffset);
-    FinishPassed();
+      Finish(proposal, append_end::Applied, aEntry.mOffset);
+    FinishDecided();
   }
 
-  /// The state jumped to a checkpoint.
+  /// Records that the state was loaded from a checkpoint, and finishes the
+  /// records whose outcome that decides.
   void OnJump(log_offset aCovers)
   {
-    Raise(aCovers);
+    RaiseOffsets(aCovers);
     for (auto& [proposal, pending] : mPending)
       pending.mWasSkipped = true;
-    FinishPassed();
+    FinishDecided();
   }
 
-  /// How many records have no definite end yet.
+  /// The number of records without a final outcome.
   [[nodiscard]] std::size_t PendingCount() const noexcept
   {
     return mPending.size();
@@ -134,7 +137,7 @@
     if (aPending.mBackoff.IsOver(aNow))
       Send(aPending);
     else
-      Earlier(aNext, aPending.mBackoff.Until());
+      KeepEarlier(aNext, aPending.mBackoff.Until());
   }
 
   void OnAnswer(proposal_id const& aProposal, append_result const& aResult)
@@ -146,16 +149,16 @@
     pending.mIsSending = false;
     pending.mHasFailed = aResult.mStatus != append_status::Accepted;
     if (aResult.mStatus == append_status::Unknown)
-      pending.mMayLand = true;
+      pending.mMayBeInLog = true;
     if (aResult.mStatus == append_status::Accepted) {
       mTail = std::max(mTail, aResult.mOffset);
-      pending.mMayLand = true;
+      pending.mMayBeInLog = true;
       pending.mAcceptedAt = aResult.mOffset;
     }
-    FinishPassed();
+    FinishDecided();
   }
 
-  static void NoteFailure(pending_append& aPending, instant aNow)
+  static void StartBackoff(pending_append& aPending, instant aNow)
   {
     if (!aPending.mHasFailed)
       return;
@@ -163,62 +166,66 @@
     aPending.mBackoff.Fail(aNow);
   }
 
-  // Readers of the log have to see the last offset; without other traffic
-  // nothing would ever reach it. Only the records that are missing up to
-  // there are sent: this instance may be far behind a log that isn't idle.
-  void MoveIdleLog(log_offset aWanted,
-                   instant aNow,
-                   std::optional<instant>& aNext)
+  // The outcome is known only once the record's last offset has been applied,
+  // and without other traffic the log would never reach it. No more records
+  // than are missing up to that offset are sent: this instance may lag far
+  // behind a log that isn't idle.
+  void AdvanceIdleLog(log_offset aWanted,
+                      instant aNow,
+                      std::optional<instant>& aNext)
   {
-    if (mHasIdleMoveFailed) {
-      mHasIdleMoveFailed = false;
+    if (mHasIdleAppendFailed) {
+      mHasIdleAppendFailed = false;
       mIdleBackoff.Fail(aNow);
     }
     if (!mIdleBackoff.IsOver(aNow)) {
-      Earlier(aNext, mIdleBackoff.Until());
+      KeepEarlier(aNext, mIdleBackoff.Until());
       return;
     }
     std::uint64_t const missing = aWanted.Value() - mTail.Value();
     std::uint64_t const allowed =
-      std::min<std::uint64_t>(missing, mOptions.mMaxIdleMoves);
-    while (mIdleMoves < allowed)
-      StartIdleMove();
+      std::min<std::uint64_t>(missing, mOptions.mMaxIdleAppends);
+    while (mIdleAppends < allowed)
+      StartIdleAppend();
   }
 
-  void StartIdleMove()
+  void StartIdleAppend()
   {
-    ++mIdleMoves;
+    ++mIdleAppends;
     mLog.Append(no_operation{}, [this](append_result const& aResult) {
-      --mIdleMoves;
+      --mIdleAppends;
       mTail = std::max(mTail, aResult.mOffset);
-      mHasIdleMoveFailed = aResult.mStatus != append_status::Accepted;
-      if (!mHasIdleMoveFailed)
+      mHasIdleAppendFailed = aResult.mStatus != append_status::Accepted;
+      if (!mHasIdleAppendFailed)
         mIdleBackoff.Succeed();
     });
   }
 
-  void FinishPassed()
+  void FinishDecided()
   {
-    std::vector<proposal_id> passed;
+    std::vector<proposal_id> decided;
     for (auto const& [proposal, pending] : mPending) {
       if (mApplied >= pending.mLastOffset || IsSkipped(pending))
-        passed.push_back(proposal);
+        decided.push_back(proposal);
     }
-    for (proposal_id const& proposal : passed) {
+    for (proposal_id const& proposal : decided) {
       bool const wasSkipped = mPending.at(proposal).mWasSkipped;
-      Finish(
-        proposal, wasSkipped ? append_end::Skipped : append_end::NotLanded, {});
+      Finish(proposal,
+             wasSkipped ? append_end::Skipped : append_end::NotApplied,
+             {});
     }
   }
 
-  // The copy that the log took stands where the state jumped over.
+  // True when a checkpoint covers the offset of the copy that the log accepted,
+  // so that its entry is never seen.
   [[nodiscard]] bool IsSkipped(pending_append const& aPending) const
   {
     return aPending.mWasSkipped && aPending.mAcceptedAt > log_offset{} &&
            aPending.mAcceptedAt <= mApplied;
   }
 
-  // The callback may submit again, so the entry goes first.
+  // The callback may submit another record, so the pending one is removed
+  // before the call.
   void Finish(proposal_id const& aProposal, append_end aEnd, log_offset aOffset)
   {
     auto const ended = mPending.extract(aProposal);
@@ -226,13 +233,13 @@
       { .mProposal = aProposal, .mEnd = aEnd, .mOffset = aOffset });
   }
 
-  void Raise(log_offset aApplied)
+  void RaiseOffsets(log_offset aApplied)
   {
     mApplied = std::max(mApplied, aApplied);
     mTail = std::max(mTail, aApplied);
   }
 
-  static void Earlier(std::optional<instant>& aNext, instant aOther)
+  static void KeepEarlier(std::optional<instant>& aNext, instant aOther)
   {
     aNext = aNext ? std::min(*aNext, aOther) : aOther;
   }
@@ -243,9 +250,9 @@
   log_offset mApplied;
   log_offset mTail;
   std::uint64_t mSubmitted = 0;
-  std::uint32_t mIdleMoves = 0;
+  std::uint32_t mIdleAppends = 0;
   backoff mIdleBackoff;
-  bool mHasIdleMoveFailed = false;
+  bool mHasIdleAppendFailed = false;
 };
 
 }
--- a/Libraries/LibPlatform/LogCallbacks.h
+++ b/Libraries/LibPlatform/LogCallbacks.h
@@ -9,13 +9,13 @@
 
 namespace lycheeseam {
 
-/// Takes the end of an append, once.
+/// Receives the result of an append; runs once.
 using append_callback = std::function<void(append_result const&)>;
 
-/// Takes the end of a read, once.
+/// Receives the result of a read; runs once.
 using read_callback = std::function<void(read_result const&)>;
 
-/// Takes the log's range, or nothing when the log is unavailable, once.
+/// Receives the log's range, or nothing when the log is unavailable; runs once.
 using range_callback = std::function<void(std::optional<log_range> const&)>;
 
 }
--- a/Libraries/LibPlatform/LogFollower.h
+++ b/Libraries/LibPlatform/LogFollower.h
@@ -15,14 +15,16 @@
 
 namespace lycheeseam {
 
-/// Brings a state up to the log's tail and keeps it there. It must outlive
-/// the callbacks that it gave to the log. Observer is a log_observer.
+/// Reads the log and applies its entries to a state: it starts from the newest
+/// checkpoint, reaches the tail and then applies new records as they come. It
+/// must outlive the callbacks that it gave to the log. Observer is a
+/// log_observer.
 template<log_service Log, replicated_state State, typename Observer>
 class log_follower
 {
 public:
-  /// A state that was loaded from a peer's snapshot is followed from there;
-  /// an empty one begins with the newest checkpoint.
+  /// Follows a state that was loaded from a peer's snapshot from its offset on;
+  /// an empty state starts with the search for the newest checkpoint.
   log_follower(Log& aLog,
                State& aState,
                Observer& aObserver,
@@ -38,11 +40,12 @@
   }
 
   /// Starts the next read if one is due. Returns when to call again at the
-  /// latest; nothing while a read is under way, whose end the observer hears.
+  /// latest; nothing while a read is in flight, since its end calls the
+  /// observer's OnReadEnd.
   std::optional<instant> Advance(instant aNow)
   {
-    // Checked here, since an owner that observes is incomplete as a type
-    // where it declares its follower.
+    // Checked here, since an owner that is its own observer is an incomplete
+    // type where it declares its follower.
     static_assert(log_observer<Observer>);
     mNow = aNow;
     if (mIsReading)
@@ -57,20 +60,20 @@
     return std::nullopt;
   }
 
-  /// Has the state gone on from a peer's snapshot in the meantime: follow it.
+  /// Continues from the state's offset after a peer's snapshot was loaded.
   void OnStateLoaded() noexcept { mPhase = follower_phase::Following; }
 
-  /// When the tail was last known to be applied, counted from the sending of
-  /// the read that showed it; nothing before the first time.
+  /// When the state was last known to be at the tail: the time at which the
+  /// read that showed it was sent; nothing before the first such read.
   [[nodiscard]] std::optional<instant> ConfirmedAt() const noexcept
   {
     return mConfirmedAt;
   }
 
-  /// The log's range as last heard.
+  /// The log's range from the last answer that held one.
   [[nodiscard]] log_range Range() const noexcept { return mRange; }
 
-  /// What it is doing.
+  /// The current phase.
   [[nodiscard]] follower_phase Phase() const noexcept { return mPhase; }
 
 private:
@@ -86,14 +89,15 @@
         return;
       case follower_phase::Searching:
         ReadFrom(*mSearch->Next(), {}, [this](read_result const& aResult) {
-          EndRead(OnSearched(aResult));
+          EndRead(OnSearchRead(aResult));
         });
         return;
       case follower_phase::Following:
-        ReadFrom(
-          mState.Offset().Next(),
-          mOptions.mMaxWait,
-          [this](read_result const& aResult) { EndRead(OnFollowed(aResult)); });
+        ReadFrom(mState.Offset().Next(),
+                 mOptions.mMaxWait,
+                 [this](read_result const& aResult) {
+                   EndRead(OnFollowRead(aResult));
+                 });
         return;
     }
   }
@@ -108,20 +112,20 @@
               std::move(aDone));
   }
 
-  // The pause after a failure starts when the owner advances next, since
-  // only it knows the time.
-  void EndRead(bool aIsGood)
+  // The backoff after a failure starts at the next call of Advance, since only
+  // the owner passes in the time.
+  void EndRead(bool aHasSucceeded)
   {
     mIsReading = false;
-    mHasFailed = !aIsGood;
-    if (aIsGood)
+    mHasFailed = !aHasSucceeded;
+    if (aHasSucceeded)
       mBackoff.Succeed();
     mObserver.OnReadEnd();
   }
 
   bool OnRange(std::optional<log_range> const& aRange)
   {
-    // A snapshot may have been loaded while the question was under way.
+    // A snapshot may have been loaded while the query was in flight.
     if (mPhase != follower_phase::Locating)
       return true;
     if (!aRange)
@@ -129,10 +133,10 @@
     mRange = *aRange;
     mSearch.emplace(mRange, mOptions.mSearchWindow);
     mPhase = follower_phase::Searching;
-    return EndWindow();
+    return AdvanceSearch();
   }
 
-  bool OnSearched(read_result const& aResult)
+  bool OnSearchRead(read_result const& aResult)
   {
     if (mPhase != follower_phase::Searching)
       return true;
@@ -141,13 +145,14 @@
     if (aResult.mStatus != read_status::Complete || aResult.mEntries.empty())
       return false;
     mSearch->Add(aResult.mEntries);
-    return EndWindow();
+    return AdvanceSearch();
   }
 
-  // Goes on to the next window when one is done, and ends the search when
-  // there is something to start from. False when there is nothing: then
-  // another instance's checkpoint is waited for.
-  bool EndWindow()
+  // Continues with the next window when one has been read, and ends the search
+  // when the state can start from a checkpoint or from the log's first record.
+  // False when neither exists: the search is repeated after a backoff, until
+  // another instance has appended a checkpoint.
+  bool AdvanceSearch()
   {
     if (mSearch->Next())
       return true;
@@ -158,7 +163,7 @@
     if (mSearch->Widen())
       return true;
     bool const isFresh = mState.Offset() == log_offset{};
-    if (isFresh && mSearch->HasWholeLog()) {
+    if (isFresh && mSearch->HasCompleteLog()) {
       mPhase = follower_phase::Following;
       return true;
     }
@@ -172,8 +177,9 @@
     try {
       mState.Load(best.mCovers, best.mState);
     } catch (invalid_input const&) {
-      // Written by a version that this one can't read; older ones are tried.
-      mSearch->RefuseBest();
+      // Another version wrote it in a format that this one can't read; older
+      // checkpoints are tried.
+      mSearch->DiscardBest();
       return false;
     }
     mPhase = follower_phase::Following;
@@ -187,12 +193,12 @@
     return true;
   }
 
-  bool OnFollowed(read_result const& aResult)
+  bool OnFollowRead(read_result const& aResult)
   {
     if (aResult.mStatus == read_status::Unavailable)
       return false;
-    // A log that is shorter than what was applied is not the log that was
-    // followed; going back would revert what is in force.
+    // A log with a tail below the applied offset is not the log that was
+    // followed; following it would revert changes that are in force.
     if (aResult.mRange.mTail < mState.Offset())
       return false;
     mRange = aResult.mRange;
@@ -207,7 +213,8 @@
 
   void ApplyNext(log_entry const& aEntry)
   {
-    // A snapshot loaded while the read was under way may be ahead of it.
+    // A snapshot loaded while the read was in flight may already cover the
+    // entry.
     if (aEntry.mOffset != mState.Offset().Next())
       return;
     mState.Apply(aEntry);
--- a/Libraries/LibPlatform/LogObserver.h
+++ b/Libraries/LibPlatform/LogObserver.h
@@ -4,7 +4,7 @@
 
 namespace lycheeseam {
 
-/// Hears what a follower does to its state.
+/// Receives a log_follower's changes to its state.
 template<typename Observer>
 concept log_observer = requires(Observer& aObserver,
                                 log_entry const& aEntry,
@@ -12,10 +12,10 @@
 {
   /// An entry was applied.
   aObserver.OnEntry(aEntry);
-  /// The state jumped to a checkpoint that covers all up to an offset; the
-  /// entries between were never seen.
+  /// The state was loaded from a checkpoint that covers all entries up to an
+  /// offset; the entries that it skips are never passed to OnEntry.
   aObserver.OnJump(aOffset);
-  /// A read has ended; the follower wants to be advanced.
+  /// A read has ended; the owner calls Advance to start the next one.
   aObserver.OnReadEnd();
 };
 
--- a/Libraries/LibPlatform/LogRange.h
+++ b/Libraries/LibPlatform/LogRange.h
@@ -4,12 +4,12 @@
 
 namespace lycheeseam {
 
-/// What the platform's log holds at one moment.
+/// The range of offsets that the platform's log holds at one moment.
 struct log_range
 {
-  /// The oldest record kept; one past the tail when none is.
+  /// The offset of the oldest retained record; tail + 1 when there is none.
   log_offset mEarliest{ 1 };
-  /// The newest record; 0 before the first.
+  /// The offset of the newest record; 0 before the first.
   log_offset mTail;
 
   bool operator==(log_range const&) const = default;
--- a/Libraries/LibPlatform/PendingAppend.h
+++ b/Libraries/LibPlatform/PendingAppend.h
@@ -9,10 +9,10 @@
 
 namespace lycheeseam {
 
-/// Takes the definite end of a submitted record, once.
+/// Receives the final outcome of a submitted record; runs once.
 using outcome_callback = std::function<void(append_outcome const&)>;
 
-/// A submitted record whose end isn't known yet.
+/// A submitted record without a final outcome.
 struct pending_append
 {
   log_record mRecord;
@@ -21,13 +21,15 @@
   instant mGiveUpAt{};
   backoff mBackoff;
   bool mIsSending = false;
-  /// An answer was lost, so a copy may be in the log or land later.
-  bool mMayLand = false;
-  /// Offsets where it may stand were jumped over.
+  /// The log accepted a copy, or an answer was lost: a copy may be in the log
+  /// or be stored later.
+  bool mMayBeInLog = false;
+  /// A checkpoint replaced offsets at which the record may be.
   bool mWasSkipped = false;
-  /// The log gave this offset to a copy; 0 before that.
+  /// The offset at which the log accepted a copy; 0 before that.
   log_offset mAcceptedAt{};
-  /// The last try failed; the pause starts when the time is next known.
+  /// The last attempt failed; its backoff starts at the next call of Advance,
+  /// which passes in the time.
   bool mHasFailed = false;
 };
 
--- a/Libraries/LibPlatform/PlatformCalls.cpp
+++ b/Libraries/LibPlatform/PlatformCalls.cpp
@@ -16,7 +16,7 @@
   return "http://" + aOptions.mAddress.Text() + std::string{ aPath };
 }
 
-// An answer that can't be read is as good as none.
+// A body that can't be parsed is handled like a missing answer.
 template<typename Reply>
 std::optional<Reply>
 Parse(http_reply const& aReply)
@@ -101,7 +101,7 @@
 }
 
 append_result
-ReadAppendReply(http_reply const& aReply)
+ParseAppendReply(http_reply const& aReply)
 {
   if (aReply.mEnd == transfer_end::NotSent)
     return { .mStatus = append_status::NotSent };
@@ -112,7 +112,7 @@
 }
 
 read_result
-ReadReadReply(http_reply const& aReply)
+ParseReadReply(http_reply const& aReply)
 {
   if (aReply.mStatus == kStatusGone) {
     std::optional<log_range> const range = Parse<log_range>(aReply);
@@ -131,13 +131,13 @@
 }
 
 std::optional<log_range>
-ReadOffsetsReply(http_reply const& aReply)
+ParseOffsetsReply(http_reply const& aReply)
 {
   return ParseSuccess<log_range>(aReply);
 }
 
 std::optional<instance_list>
-ReadListReply(http_reply const& aReply)
+ParseListReply(http_reply const& aReply)
 {
   return ParseSuccess<instance_list>(aReply);
 }
--- a/Libraries/LibPlatform/PlatformCalls.h
+++ b/Libraries/LibPlatform/PlatformCalls.h
@@ -12,7 +12,8 @@
 
 #include <optional>
 
-/// \file The platform's calls as HTTP and back; docs/PLATFORM-API.md.
+/// \file Builds the HTTP requests of the platform's API and parses its replies;
+/// see docs/PLATFORM-API.md.
 
 namespace lycheeseam {
 
@@ -36,20 +37,20 @@
 RemoveCall(platform_options const& aOptions, instance_id const& aInstance);
 
 append_result
-ReadAppendReply(http_reply const& aReply);
+ParseAppendReply(http_reply const& aReply);
 
-/// Records that this version can't read become no-operations, so that their
-/// offsets still count.
+/// Records that this version can't decode become no-operations, so that the
+/// offsets stay without gaps.
 read_result
-ReadReadReply(http_reply const& aReply);
+ParseReadReply(http_reply const& aReply);
 
 std::optional<log_range>
-ReadOffsetsReply(http_reply const& aReply);
+ParseOffsetsReply(http_reply const& aReply);
 
 std::optional<instance_list>
-ReadListReply(http_reply const& aReply);
+ParseListReply(http_reply const& aReply);
 
-/// True when the platform took the call.
+/// True when the platform answered with status 200.
 bool
 IsSuccess(http_reply const& aReply);
 
--- a/Libraries/LibPlatform/PlatformClient.h
+++ b/Libraries/LibPlatform/PlatformClient.h
@@ -12,14 +12,16 @@
 
 namespace lycheeseam {
 
-/// Takes the platform's list, or nothing when it is unavailable, once.
+/// Receives the list of instances, or nothing when it is unavailable; runs
+/// once.
 using list_callback = std::function<void(std::optional<instance_list> const&)>;
 
-/// Takes whether the platform took a call, once.
+/// Receives true when the platform accepted the call; runs once.
 using done_callback = std::function<void(bool)>;
 
-/// The platform over HTTP: a log_service and the list of instances. Answers
-/// are read on the transfers' thread and arrive typed through the poster.
+/// Client of the platform's HTTP API: a log_service and the list of instances.
+/// The transfer_loop's thread parses the replies; the poster runs each callback
+/// with its result on the thread that it posts to.
 template<callback_poster Poster>
 class platform_client
 {
@@ -33,34 +35,35 @@
   /// Appends a record to the log.
   void Append(log_record const& aRecord, append_callback aDone)
   {
-    Start(AppendCall(mOptions, aRecord), &ReadAppendReply, std::move(aDone));
+    Start(AppendCall(mOptions, aRecord), &ParseAppendReply, std::move(aDone));
   }
 
-  /// Reads records from an offset on, waiting for one if there is none.
+  /// Reads records from an offset on; the log waits up to mMaxWait for the
+  /// first.
   void Read(read_request const& aRequest, read_callback aDone)
   {
-    Start(ReadCall(mOptions, aRequest), &ReadReadReply, std::move(aDone));
+    Start(ReadCall(mOptions, aRequest), &ParseReadReply, std::move(aDone));
   }
 
-  /// Asks for the log's earliest and tail offsets.
+  /// Queries the log's earliest and tail offsets.
   void Offsets(range_callback aDone)
   {
-    Start(OffsetsCall(mOptions), &ReadOffsetsReply, std::move(aDone));
+    Start(OffsetsCall(mOptions), &ParseOffsetsReply, std::move(aDone));
   }
 
-  /// Asks for the list of live and leaving instances.
+  /// Queries the list of live and leaving instances.
   void ListInstances(list_callback aDone)
   {
-    Start(ListCall(mOptions), &ReadListReply, std::move(aDone));
+    Start(ListCall(mOptions), &ParseListReply, std::move(aDone));
   }
 
-  /// Puts an instance on the list, or changes its line.
+  /// Adds an instance to the list, or replaces its entry.
   void RegisterInstance(listed_instance const& aInstance, done_callback aDone)
   {
     Start(RegisterCall(mOptions, aInstance), &IsSuccess, std::move(aDone));
   }
 
-  /// Takes an instance off the list.
+  /// Removes an instance from the list.
   void RemoveInstance(instance_id const& aInstance, done_callback aDone)
   {
     Start(RemoveCall(mOptions, aInstance), &IsSuccess, std::move(aDone));
--- a/Libraries/LibPlatform/PlatformForms.h
+++ b/Libraries/LibPlatform/PlatformForms.h
@@ -10,7 +10,7 @@
 
 #include <tuple>
 
-/// \file The forms of the platform's answers; docs/PLATFORM-API.md.
+/// \file The JSON fields of the platform's replies; see docs/PLATFORM-API.md.
 
 namespace lycheeseam {
 
--- a/Libraries/LibPlatform/PlatformOptions.h
+++ b/Libraries/LibPlatform/PlatformOptions.h
@@ -6,7 +6,8 @@
 
 namespace lycheeseam {
 
-/// Where the platform is and how long its answers may take.
+/// The address of the platform and the time limit of a call. A read that waits
+/// for records adds its wait to the limit.
 struct platform_options
 {
   endpoint mAddress;
--- a/Libraries/LibPlatform/RawRecord.h
+++ b/Libraries/LibPlatform/RawRecord.h
@@ -6,7 +6,8 @@
 
 namespace lycheeseam {
 
-/// A record as the platform sees it: a place and a text it can't read.
+/// A record in the platform's reply: its offset and its encoded text, which the
+/// platform doesn't interpret.
 struct raw_record
 {
   log_offset mOffset;
--- a/Libraries/LibPlatform/ReadReply.h
+++ b/Libraries/LibPlatform/ReadReply.h
@@ -7,7 +7,7 @@
 
 namespace lycheeseam {
 
-/// The platform's answer to a read.
+/// The body of the platform's answer to a read.
 struct read_reply
 {
   log_range mRange;
--- a/Libraries/LibPlatform/ReadResult.h
+++ b/Libraries/LibPlatform/ReadResult.h
@@ -8,7 +8,7 @@
 
 namespace lycheeseam {
 
-/// The end of one read.
+/// The result of one read of the log.
 struct read_result
 {
   read_status mStatus = read_status::Unavailable;
--- a/Libraries/LibPlatform/ReadStatus.h
+++ b/Libraries/LibPlatform/ReadStatus.h
@@ -5,11 +5,11 @@
 /// How a read of the log ended.
 enum class read_status
 {
-  /// The entries are complete from the offset asked for.
+  /// The entries start at the requested offset and have no gaps.
   Complete,
-  /// The offset asked for is older than what the log keeps.
+  /// The requested offset is before the retained range.
   BeforeRetention,
-  /// The log can't be reached or refused to answer.
+  /// The log is unreachable or gave no valid answer.
   Unavailable,
 };
 
--- a/Libraries/LibPlatform/TransferEnd.h
+++ b/Libraries/LibPlatform/TransferEnd.h
@@ -2,14 +2,14 @@
 
 namespace lycheeseam {
 
-/// How far an HTTP transfer came.
+/// How an HTTP transfer ended.
 enum class transfer_end
 {
-  /// A whole answer arrived.
+  /// A complete answer arrived.
   Answered,
   /// No connection was made, so no byte was sent.
   NotSent,
-  /// The request may have arrived; its answer did not.
+  /// The request may have arrived, but no complete answer did.
   NoAnswer,
 };
 
--- a/Libraries/LibPlatform/TransferLoop.cpp
+++ b/Libraries/LibPlatform/TransferLoop.cpp
@@ -5,17 +5,19 @@
 
 namespace {
 
-/// The longest sleep of the loop when nothing happens, in milliseconds.
-constexpr int kLongestSleepMs = 60'000;
+/// The longest wait of the loop for activity. Start and the destructor wake it
+/// earlier.
+constexpr int kLongestPollMs = 60'000;
 
 CURLM*
 NewMulti()
 {
-  // The library allows this any number of times, and frees it at exit.
+  // libcurl allows repeated calls; the global state lives until the process
+  // ends.
   curl_global_init(CURL_GLOBAL_DEFAULT);
   CURLM* const multi = curl_multi_init();
   if (!multi)
-    throw error("libcurl gave no multi handle");
+    throw error("curl_multi_init failed to create a multi handle");
   return multi;
 }
 
@@ -55,8 +57,8 @@
     AddWaiting();
     int running = 0;
     curl_multi_perform(mMulti.get(), &running);
-    FinishDone();
-    curl_multi_poll(mMulti.get(), nullptr, 0, kLongestSleepMs, nullptr);
+    FinishCompleted();
+    curl_multi_poll(mMulti.get(), nullptr, 0, kLongestPollMs, nullptr);
   }
 }
 
@@ -76,7 +78,7 @@
 }
 
 void
-transfer_loop::FinishDone()
+transfer_loop::FinishCompleted()
 {
   int left = 0;
   while (CURLMsg const* const message =
--- a/Libraries/LibPlatform/TransferLoop.h
+++ b/Libraries/LibPlatform/TransferLoop.h
@@ -13,18 +13,21 @@
 
 namespace lycheeseam {
 
-/// Runs HTTP calls on one thread of its own. Calls still open when it ends
-/// are dropped without an answer.
+/// Runs HTTP calls on a thread of its own; any thread may start a call. The
+/// destructor drops calls that are still open without running their
+/// completions.
 class transfer_loop
 {
 public:
+  /// Starts the thread; throws error when libcurl can't create a multi handle.
   transfer_loop();
   ~transfer_loop();
   transfer_loop(transfer_loop const&) = delete;
   transfer_loop& operator=(transfer_loop const&) = delete;
 
   /// Starts a call; safe from any thread. The completion runs on the loop's
-  /// thread and must not block it.
+  /// thread and must not block it. Throws error when libcurl can't create a
+  /// handle.
   void Start(http_call aCall, http_transfer::completion aDone);
 
 private:
@@ -32,12 +35,12 @@
 
   void Run();
   void AddWaiting();
-  void FinishDone();
+  void FinishCompleted();
 
   multi mMulti;
   std::mutex mMutex;
   std::vector<std::unique_ptr<http_transfer>> mWaiting;
-  // Only the loop's thread touches the open transfers.
+  // Used by the loop's thread only, and by the destructor after it has joined.
   std::map<CURL*, std::unique_ptr<http_transfer>> mOpen;
   std::atomic<bool> mIsEnding{ false };
   std::thread mThread;
--- a/Tests/LibPlatform/ConfigSchedule.cpp
+++ b/Tests/LibPlatform/ConfigSchedule.cpp
@@ -8,11 +8,12 @@
 
 namespace {
 
-constexpr std::chrono::seconds kFaultySpan{ 40 };
+constexpr std::chrono::seconds kFaultSpan{ 40 };
 constexpr std::chrono::seconds kSettleSpan{ 40 };
 constexpr std::chrono::milliseconds kReadingSpan{ 100 };
-/// Short, so that instances fall behind it, but longer than an outage and a
-/// reader's pause after it: what no instance read in time is lost for good.
+/// Short, so that lagging instances miss records, but longer than an outage and
+/// a reader's backoff after it: records that no instance reads in time are
+/// lost.
 constexpr std::chrono::seconds kRetention{ 10 };
 constexpr std::size_t kLongestOutageMs = 4000;
 constexpr std::size_t kLongestFreezeMs = 14000;
@@ -42,17 +43,18 @@
   Every(std::chrono::milliseconds{ 120 }, &config_schedule::ProposeSomething);
   Every(std::chrono::milliseconds{ 5000 }, &config_schedule::RestartOne);
   Every(std::chrono::milliseconds{ 6000 }, &config_schedule::FreezeOne);
-  Every(std::chrono::milliseconds{ 9000 }, &config_schedule::BreakLog);
-  Every(std::chrono::milliseconds{ 40 }, &config_schedule::AddNoise);
-  mQueue.RunUntil(instant{ kFaultySpan });
-  mIsHealed = true;
+  Every(std::chrono::milliseconds{ 9000 }, &config_schedule::StartOutage);
+  Every(std::chrono::milliseconds{ 40 }, &config_schedule::AddTraffic);
+  mQueue.RunUntil(instant{ kFaultSpan });
+  mAreFaultsOver = true;
   mLog.SetOutage(false);
   mLog.Options().mLostPercent = 0;
   mLog.Options().mLatePercent = 0;
-  mQueue.RunUntil(instant{ kFaultySpan + kSettleSpan });
-  // Checkpoints land also at the end; each has this long to be read.
+  mQueue.RunUntil(instant{ kFaultSpan + kSettleSpan });
+  // Checkpoints are appended until the end; instances get kReadingSpan to read
+  // those up to the settled tail.
   mSettledTail = mLog.Range().mTail;
-  mQueue.RunUntil(instant{ kFaultySpan + kSettleSpan + kReadingSpan });
+  mQueue.RunUntil(instant{ kFaultSpan + kSettleSpan + kReadingSpan });
 }
 
 void
@@ -66,7 +68,7 @@
     EXPECT_TRUE(instance->ConfirmedAt().has_value());
   }
   CheckOutcomes();
-  CheckChainOfVersions();
+  CheckVersionChain();
 }
 
 void
@@ -91,8 +93,8 @@
     mQueue, mLog, appender, checkpoints, mRandom(), onState);
 }
 
-// At every offset that an instance reaches it holds exactly what the fold
-// over the whole log gives there, and it never goes back.
+// Guards against an instance that goes back to an earlier offset, or whose
+// tables differ from those of the fold over the complete log at that offset.
 void
 config_schedule::OnState(std::size_t aIndex,
                          config_instance::state const& aState)
@@ -107,14 +109,14 @@
 
 void
 config_schedule::Every(std::chrono::milliseconds aMean,
-                       void (config_schedule::*aAct)())
+                       void (config_schedule::*aAction)())
 {
   std::uniform_int_distribution<std::int64_t> pause{ 1, 2 * aMean.count() };
   mQueue.After(std::chrono::milliseconds{ pause(mRandom) }, [=, this]() {
-    if (mIsHealed)
+    if (mAreFaultsOver)
       return;
-    (this->*aAct)();
-    Every(aMean, aAct);
+    (this->*aAction)();
+    Every(aMean, aAction);
   });
 }
 
@@ -122,7 +124,8 @@
 config_schedule::ProposeSomething()
 {
   config_instance& author = AnyInstance();
-  // The window of one that hasn't found its place is long past.
+  // An instance that has not loaded a state yet doesn't know the tail, so the
+  // offsets in its window are in the past.
   if (author.State().Offset() == log_offset{})
     return;
   config_proposal proposal;
@@ -133,10 +136,10 @@
     config_fold const& fold = author.State().Get<config_fold>();
     proposal_outcome const* const verdict =
       fold.FindOutcome(aOutcome.mProposal);
-    told_outcome told{ .mOutcome = aOutcome };
+    reported_outcome reported{ .mOutcome = aOutcome };
     if (verdict)
-      told.mVerdict = *verdict;
-    mTold.push_back(std::move(told));
+      reported.mVerdict = *verdict;
+    mReported.push_back(std::move(reported));
   });
 }
 
@@ -146,7 +149,7 @@
   std::size_t const index = Pick(kInstances);
   std::size_t const peer = Pick(kInstances);
   Start(index);
-  // Sometimes there is a peer to start from, which may be behind itself.
+  // Starts from a peer's snapshot when the peer has one; the peer may lag.
   config_instance::state const& snapshot = mInstances[peer]->State();
   if (peer != index && snapshot.Offset() > log_offset{})
     mInstances[index]->LoadSnapshot(snapshot);
@@ -156,7 +159,8 @@
 config_schedule::FreezeOne()
 {
   std::chrono::milliseconds const span{ Pick(kLongestFreezeMs) };
-  // One at a time: the others have to read what lands meanwhile.
+  // Only one instance is frozen at a time: the others have to read the records
+  // that are appended meanwhile.
   if (mQueue.Now() < mFrozenUntil)
     return;
   mFrozenUntil = mQueue.Now() + span;
@@ -164,16 +168,16 @@
 }
 
 void
-config_schedule::BreakLog()
+config_schedule::StartOutage()
 {
   mLog.SetOutage(true);
   std::chrono::milliseconds const span{ 100 + Pick(kLongestOutageMs) };
   mQueue.After(span, [this]() { mLog.SetOutage(false); });
 }
 
-// Other traffic in the log, so that retention passes.
+// Adds other records to the log, so that the retained range moves on.
 void
-config_schedule::AddNoise()
+config_schedule::AddTraffic()
 {
   mLog.Append(no_operation{}, [](append_result const&) {});
 }
@@ -181,26 +185,26 @@
 void
 config_schedule::CheckOutcomes()
 {
-  for (told_outcome const& told : mTold) {
-    auto const found = mReference.Outcomes().find(told.mOutcome.mProposal);
+  for (reported_outcome const& reported : mReported) {
+    auto const found = mReference.Outcomes().find(reported.mOutcome.mProposal);
     bool const isKnown = found != mReference.Outcomes().end();
     bool const isInForce =
       isKnown && found->second.mStatus == proposal_status::Accepted;
-    if (told.mOutcome.mEnd == append_end::NotLanded) {
-      EXPECT_FALSE(isInForce) << told.mOutcome.mProposal.Text()
-                              << " was called not landed and took force";
+    if (reported.mOutcome.mEnd == append_end::NotApplied) {
+      EXPECT_FALSE(isInForce) << reported.mOutcome.mProposal.Text()
+                              << " was reported as not applied but is in force";
     }
-    if (told.mOutcome.mEnd != append_end::Landed)
+    if (reported.mOutcome.mEnd != append_end::Applied)
       continue;
-    EXPECT_TRUE(told.mVerdict.has_value() && isKnown);
-    EXPECT_TRUE(told.mVerdict == found->second);
+    EXPECT_TRUE(reported.mVerdict.has_value() && isKnown);
+    EXPECT_TRUE(reported.mVerdict == found->second);
   }
 }
 
-// The first in log order wins, told without the fold: each accepted change is
-// based on the accepted change of its row before it.
+// Checks without the fold that the first change in log order wins: each
+// accepted change is based on the previous accepted change of its row.
 void
-config_schedule::CheckChainOfVersions()
+config_schedule::CheckVersionChain()
 {
   std::map<row_reference, log_offset> versions;
   for (log_entry const& entry : mLog.History()) {
@@ -210,7 +214,7 @@
       continue;
     auto const found = mReference.Outcomes().find(proposal->mOrigin.mProposal);
     if (found == mReference.Outcomes().end()) {
-      // Only one that never landed in time is without an outcome.
+      // Only a proposal beyond its last offset has no outcome.
       EXPECT_GT(entry.mOffset, proposal->mOrigin.mLastOffset);
       continue;
     }
--- a/Tests/LibPlatform/ConfigSchedule.h
+++ b/Tests/LibPlatform/ConfigSchedule.h
@@ -11,27 +11,27 @@
 
 namespace lycheeseam {
 
-/// One random schedule: instances that race to change the same few rows while
-/// the log and the instances themselves fail. All of it follows from a seed.
+/// One random schedule: instances make conflicting changes to the same few rows
+/// while the log and the instances fail. The seed determines all of it.
 class config_schedule
 {
 public:
   explicit config_schedule(std::uint64_t aSeed);
 
-  /// Runs the faults, heals them, and lets everything settle.
+  /// Runs with faults, then without them until the instances have caught up.
   void Run();
 
-  /// Checks what must hold once all is settled.
+  /// Checks the instances' final state and the reported outcomes.
   void CheckEnd();
 
-  /// How often an instance jumped to a checkpoint, over all schedules'
-  /// incarnations.
+  /// How often an instance skipped offsets by loading a checkpoint or snapshot,
+  /// over all incarnations.
   [[nodiscard]] std::size_t Jumps() const { return mJumps; }
 
 private:
   static constexpr std::size_t kInstances = 4;
 
-  struct told_outcome
+  struct reported_outcome
   {
     append_outcome mOutcome;
     std::optional<proposal_outcome> mVerdict;
@@ -39,14 +39,15 @@
 
   void Start(std::size_t aIndex);
   void OnState(std::size_t aIndex, config_instance::state const& aState);
-  void Every(std::chrono::milliseconds aMean, void (config_schedule::*aAct)());
+  void Every(std::chrono::milliseconds aMean,
+             void (config_schedule::*aAction)());
   void ProposeSomething();
   void RestartOne();
   void FreezeOne();
-  void BreakLog();
-  void AddNoise();
+  void StartOutage();
+  void AddTraffic();
   void CheckOutcomes();
-  void CheckChainOfVersions();
+  void CheckVersionChain();
 
   std::size_t Pick(std::size_t aCount);
   config_instance& AnyInstance() { return *mInstances[Pick(kInstances)]; }
@@ -58,10 +59,10 @@
   config_reference mReference;
   std::vector<std::unique_ptr<config_instance>> mInstances;
   std::vector<log_offset> mSeen;
-  std::vector<told_outcome> mTold;
+  std::vector<reported_outcome> mReported;
   std::uint64_t mIncarnations = 0;
   std::size_t mJumps = 0;
-  bool mIsHealed = false;
+  bool mAreFaultsOver = false;
   instant mFrozenUntil{};
   log_offset mSettledTail;
 };
--- a/Tests/LibPlatform/TestConfigSchedule.cpp
+++ b/Tests/LibPlatform/TestConfigSchedule.cpp
@@ -22,7 +22,10 @@
 class config_schedules : public testing::TestWithParam<std::uint64_t>
 {};
 
-TEST_P(config_schedules, InstancesAgreeAndNothingAcceptedReverts)
+// Guards against instances whose configuration differs at the same offset, and
+// against accepted changes that are reverted, when answers are lost, appends
+// arrive late, the log has outages, and instances restart and freeze.
+TEST_P(config_schedules, InstancesAgreeAndAcceptedChangesStay)
 {
   if (char const* const seed = std::getenv("LYCHEESEAM_SEED")) {
     RunSchedule(std::strtoull(seed, nullptr, 10));
@@ -32,7 +35,8 @@
   std::size_t jumps = 0;
   for (std::uint64_t i = 0; i < kSchedulesPerBatch && !HasFailure(); ++i)
     jumps += RunSchedule(first + i);
-  // The schedules are worth little when no instance falls behind.
+  // Without lagging instances the schedules don't cover checkpoints and
+  // snapshots.
   EXPECT_GT(jumps, kSchedulesPerBatch);
 }
 
--- a/Tests/LibPlatform/TestPlatformClient.cpp
+++ b/Tests/LibPlatform/TestPlatformClient.cpp
@@ -10,7 +10,7 @@
 
 constexpr std::chrono::milliseconds kCallTimeout{ 2000 };
 
-// The tests take answers on the transfers' own thread.
+// Runs the callbacks on the transfer_loop's thread.
 struct direct_poster
 {
   void operator()(std::function<void()> const& aCallback) const { aCallback(); }
@@ -66,7 +66,7 @@
   EXPECT_EQ(result.mRange.mTail, log_offset{ 2 });
 }
 
-TEST_F(test_platform_client, WaitingReadEndsWithTheNextRecord)
+TEST_F(test_platform_client, WaitingReadReturnsTheNextRecord)
 {
   std::future<read_result> read =
     Read({ .mFrom = log_offset{ 1 }, .mMaxWait = std::chrono::seconds{ 30 } });
@@ -74,14 +74,14 @@
   EXPECT_EQ(read.get().mEntries.size(), 1U);
 }
 
-TEST_F(test_platform_client, LostAnswerIsUnknownThoughTheRecordStands)
+TEST_F(test_platform_client, LostAnswerGivesUnknownForAnAppendedRecord)
 {
   mServer.Served().SetFaults({ .mLoseAnswers = 1 });
   EXPECT_EQ(Append("a").mStatus, append_status::Unknown);
   EXPECT_EQ(Read({ .mFrom = log_offset{ 1 } }).get().mEntries.size(), 1U);
 }
 
-TEST_F(test_platform_client, OutageIsUnavailableAndEndsWaits)
+TEST_F(test_platform_client, OutageEndsWaitingReadAsUnavailable)
 {
   std::future<read_result> waiting =
     Read({ .mFrom = log_offset{ 1 }, .mMaxWait = std::chrono::seconds{ 30 } });
@@ -90,7 +90,7 @@
   EXPECT_EQ(waiting.get().mStatus, read_status::Unavailable);
 }
 
-TEST_F(test_platform_client, ReadBehindRetentionGivesTheRange)
+TEST_F(test_platform_client, ReadBeforeRetentionReturnsTheRange)
 {
   mServer.Served().SetFaults({ .mRetentionRecords = 1 });
   Append("a");
@@ -100,13 +100,13 @@
   EXPECT_EQ(result.mRange, (log_range{ log_offset{ 2 }, log_offset{ 2 } }));
 }
 
-TEST_F(test_platform_client, RefusedConnectionIsNotSent)
+TEST_F(test_platform_client, RefusedConnectionGivesNotSent)
 {
-  // A port that was served a moment ago and is closed now.
+  // The port of a server that has just been closed.
   std::uint16_t port = 0;
   {
-    standin::platform_server const gone{ 0, 1 };
-    port = gone.Port();
+    standin::platform_server const closed{ 0, 1 };
+    port = closed.Port();
   }
   platform_client<direct_poster> client{ Options(port), {} };
   std::promise<append_result> end;
@@ -118,19 +118,19 @@
 
 TEST_F(test_platform_client, ListsRegisteredInstances)
 {
-  listed_instance const line{ .mId = instance_id{ "entry-1" },
-                              .mIncarnation = incarnation{ 3 },
-                              .mCallers = endpoint::Parse("127.0.0.1:1"),
-                              .mPeers = endpoint::Parse("127.0.0.1:2"),
-                              .mFailureDomain = failure_domain{ "bkk-a" },
-                              .mState = instance_state::Leaving };
-  std::promise<bool> taken;
-  mClient.RegisterInstance(line,
-                           [&taken](bool aTaken) { taken.set_value(aTaken); });
-  EXPECT_TRUE(taken.get_future().get());
+  listed_instance const listed{ .mId = instance_id{ "entry-1" },
+                                .mIncarnation = incarnation{ 3 },
+                                .mCallers = endpoint::Parse("127.0.0.1:1"),
+                                .mPeers = endpoint::Parse("127.0.0.1:2"),
+                                .mFailureDomain = failure_domain{ "bkk-a" },
+                                .mState = instance_state::Leaving };
+  std::promise<bool> accepted;
+  mClient.RegisterInstance(
+    listed, [&accepted](bool aAccepted) { accepted.set_value(aAccepted); });
+  EXPECT_TRUE(accepted.get_future().get());
   std::promise<std::optional<instance_list>> list;
   mClient.ListInstances([&list](auto const& aList) { list.set_value(aList); });
-  EXPECT_EQ(list.get_future().get(), (instance_list{ { line } }));
+  EXPECT_EQ(list.get_future().get(), (instance_list{ { listed } }));
 }
 
 }
