--- a/Libraries/LibGateway/AdmitRequest.cpp
+++ b/Libraries/LibGateway/AdmitRequest.cpp
@@ -11,6 +11,7 @@
 // A new instance reads its first configuration within milliseconds of its
 // start.
 constexpr std::chrono::milliseconds kConfigRetryAfter{ 200 };
+// The wait for a request that has crashed too many servers to be sent again.
 constexpr std::chrono::milliseconds kPoisonRetryAfter{ 2'000 };
 
 std::optional<request_refusal>
--- a/Libraries/LibGateway/AdmittedRequest.h
+++ b/Libraries/LibGateway/AdmittedRequest.h
@@ -22,7 +22,8 @@
   pool_name mPool;
   /// The charge, in the workspace's quota unit.
   double mUnits = 0;
-  /// Hash of path, key and body; identifies requests that may crash servers.
+  /// The result of RequestFingerprint, by which a request that crashes servers
+  /// is recognized when it is sent again.
   std::uint64_t mFingerprint = 0;
   instant mDeadline{};
 };
--- a/Libraries/LibGateway/AttemptRequest.h
+++ b/Libraries/LibGateway/AttemptRequest.h
@@ -16,7 +16,8 @@
   std::string mHead;
   std::shared_ptr<std::string const> mBody;
   bool mAnswerHasBody = true;
-  /// Prompt and longest answer, which occupy the server's memory.
+  /// Tokens of the prompt and of the longest possible answer, which occupy the
+  /// server's memory.
   token_count mTokens = 0;
   /// The shared prompt prefix that the server holds once it has answered.
   std::optional<prefix_holder> mPrefix;
--- a/Libraries/LibGateway/CallerSession.h
+++ b/Libraries/LibGateway/CallerSession.h
@@ -101,15 +101,20 @@
   friend class write_queue<caller_session>;
   using run = request_run<Dialect, caller_session>;
 
-  // About as much as a connection with a small TCP window takes at once.
+  // An answer pauses while more bytes than this wait to be written: about as
+  // much as a connection with a small TCP window takes at once.
   static constexpr std::size_t kCongestedBytes = 65'536;
-  // Limit for bytes that are read of pipelined requests while one runs.
+  // Limit for bytes that are read of pipelined requests while one runs. Beyond
+  // it nothing is read, and only a failed write shows that the caller closed.
   static constexpr std::size_t kPipelinedBytes = 65'536;
-  // A body that takes longer than any request's time limit is abandoned.
+  // Longer than any request's time limit: a body that takes this long to arrive
+  // is abandoned.
   static constexpr std::chrono::seconds kBodyTimeout{ 15 };
   // How long a closing connection waits for the caller to close its end.
   static constexpr std::chrono::seconds kLingerTime{ 1 };
 
+  // Closes a connection that has begun a head but not completed it when the
+  // header timeout ends, or that has sent nothing for the idle timeout.
   void WatchIdle(caller_limits const& aLimits)
   {
     mTimer.expires_after(aLimits.mHeaderTimeout);
@@ -187,7 +192,8 @@
     started->Start();
   }
 
-  // While a request runs, its caller's close must be noticed at once.
+  // While a request runs, its caller's close must be noticed at once, so that
+  // its attempt ends too.
   void WatchClose()
   {
     mSocket.async_wait(
--- a/Libraries/LibGateway/EventSplitter.cpp
+++ b/Libraries/LibGateway/EventSplitter.cpp
@@ -7,6 +7,7 @@
 
 namespace {
 
+// Only streams whose lines end in LF alone are split.
 constexpr std::string_view kEventEnd = "\n\n";
 constexpr std::string_view kIdLine = "id:";
 
--- a/Libraries/LibGateway/EventSplitter.h
+++ b/Libraries/LibGateway/EventSplitter.h
@@ -28,7 +28,7 @@
   /// True when no partial event is kept.
   [[nodiscard]] bool IsAtEventEnd() const noexcept { return mPartial.empty(); }
 
-  /// The last id in the complete events, or nothing when none had one.
+  /// The last numeric id in the complete events; nothing when none had one.
   [[nodiscard]] std::optional<std::uint64_t> LastId() const noexcept
   {
     return mLastId;
--- a/Libraries/LibGateway/GatewayOptions.h
+++ b/Libraries/LibGateway/GatewayOptions.h
@@ -21,9 +21,9 @@
   /// Listen address for callers' address queries.
   endpoint mAddresses;
   quota_parameters mQuota;
-  /// Retries for each first attempt, over all instances.
+  /// Retries that a pool may have for each first attempt, over all instances.
   double mRetryRatio = 0.2;
-  /// Additional retries in each mRetryWindow, over all instances.
+  /// Additional retries of each pool in each mRetryWindow, over all instances.
   double mRetrySlack = 50;
   std::chrono::seconds mRetryWindow{ 10 };
   /// How long older weights may still be used after operators named newer ones.
--- a/Libraries/LibGateway/JudgeAnswer.h
+++ b/Libraries/LibGateway/JudgeAnswer.h
@@ -7,8 +7,9 @@
 namespace lycheeseam {
 
 /// Decides the outcome of an attempt by its answer's head; never returns
-/// Pending. aIsReplaceable is true when a server's failure may, or must, be
-/// withheld from the caller.
+/// Pending. aIsReplaceable is true when a server's failure is withheld from the
+/// caller: the request may be sent again, or the caller has already been sent
+/// the head of another answer.
 attempt_outcome
 JudgeAnswer(answer_head const& aHead,
             server_answer const& aAnswer,
--- a/Libraries/LibGateway/PlanSend.h
+++ b/Libraries/LibGateway/PlanSend.h
@@ -18,7 +18,8 @@
 
 namespace lycheeseam {
 
-/// The tokens that a request may occupy on a server: prompt and longest answer.
+/// The tokens that a request may occupy on a server: those of its prompt and of
+/// its longest possible answer.
 token_count
 RequestTokens(request_properties const& aProperties);
 
@@ -32,8 +33,8 @@
 RequestPriority(dispatch_route const& aRoute,
                 dispatch_workspace const* aWorkspace);
 
-/// Hash of path, key and body, which identifies requests that may crash
-/// servers.
+/// Hash of path, caller's key and body; a request that crashes servers is
+/// recognized by it when it is sent again.
 std::uint64_t
 RequestFingerprint(request_properties const& aProperties,
                    std::string_view aBody);
--- a/Libraries/LibGateway/QuerySession.h
+++ b/Libraries/LibGateway/QuerySession.h
@@ -59,6 +59,7 @@
   }
 
 private:
+  // Covers the wait for a query, its reading and the writing of its answer.
   static constexpr std::chrono::seconds kIdleTimeout{ 15 };
 
   void OnRequest()
--- a/Libraries/LibGateway/RequestRun.h
+++ b/Libraries/LibGateway/RequestRun.h
@@ -136,6 +136,7 @@
 private:
   using error_code = boost::system::error_code;
 
+  // How long a refused caller should wait before another try.
   static constexpr std::chrono::milliseconds kRetryAfter{ 200 };
   // How often the request looks for a server with free capacity.
   static constexpr std::chrono::milliseconds kCapacityCheckInterval{ 15 };
@@ -206,7 +207,8 @@
     Attempt();
   }
 
-  /// The answer broke off: the server may have run the request.
+  // The answer broke off or is not a server's; a server may have run the
+  // request.
   void OnAnswerBroken(exchange_end aEnd)
   {
     instant const now = mClock.Now();
@@ -223,7 +225,7 @@
     EndWithRefusal(refusal_status::BadGateway, {});
   }
 
-  /// The server reported its own failure: it has run the request.
+  // The server reported its own failure: it has run the request.
   void OnFailed()
   {
     ReportAttemptEnd("failed");
--- a/Libraries/LibGateway/RunTrace.h
+++ b/Libraries/LibGateway/RunTrace.h
@@ -21,6 +21,8 @@
   bool mMayHaveRun = false;
   /// The result of the server's Pressure() when the request was sent to it.
   double mPressure = 0;
+  /// Where the latest server was told to fetch cached prompt parts, if
+  /// anywhere.
   std::optional<endpoint> mFetchFrom;
 };
 
--- a/Libraries/LibGateway/ServerAttempt.h
+++ b/Libraries/LibGateway/ServerAttempt.h
@@ -73,7 +73,8 @@
     mCore.Connections().CloseIdle(mServer->mRegistered.mId);
   }
 
-  /// The connection to the server broke, or its machine became unresponsive.
+  /// The connection to the server broke, its machine became unresponsive, or
+  /// the answer was invalid.
   void OnConnectionLost(instant aNow, exchange_end aEnd)
   {
     breaker_state const before = mServer->mBreaker.State(aNow);
--- a/Libraries/LibGateway/ServerExchange.h
+++ b/Libraries/LibGateway/ServerExchange.h
@@ -105,8 +105,9 @@
   static constexpr std::chrono::milliseconds kUnresponsiveTimeout{ 900 };
   // Servers that announce no timeout close idle connections after some seconds.
   static constexpr std::chrono::milliseconds kDefaultIdleTimeout{ 2'000 };
-  // A server that is about to close a connection must not be sent a request on
-  // it.
+  // A connection is last used this long before the timeout that its server
+  // announced: a server that is about to close a connection must not be sent a
+  // request on it.
   static constexpr std::chrono::milliseconds kIdleTimeoutMargin{ 700 };
 
   void Connect()
@@ -286,6 +287,8 @@
   bool mIsSent = false;
   bool mIsWritten = false;
   bool mIsSkipped = false;
+  /// True while the sink handles the last piece: ReadNext then ends the
+  /// exchange instead of reading.
   bool mIsDonePending = false;
 };
 
--- a/Libraries/LibGateway/SessionListener.h
+++ b/Libraries/LibGateway/SessionListener.h
@@ -77,6 +77,8 @@
 private:
   // Without free file descriptors, another accept at once would only spin.
   static constexpr std::chrono::milliseconds kFaultPause{ 50 };
+  // Connections accepted between two removals of references to sessions that
+  // have ended.
   static constexpr std::size_t kPruneInterval = 64;
 
   void Pause()
--- a/Libraries/LibGateway/TrafficCore.h
+++ b/Libraries/LibGateway/TrafficCore.h
@@ -38,7 +38,7 @@
   /// The limits that callers have now; the defaults without a configuration.
   [[nodiscard]] caller_limits Limits(instant aNow);
 
-  /// Adds a first attempt to a pool's retry budget.
+  /// Credits a pool's retry budget for a first attempt.
   void OnFirstAttempt(pool_name const& aPool);
 
   /// Spends one retry; false when the pool's retry budget is used up.
--- a/Libraries/LibGateway/TrafficReport.h
+++ b/Libraries/LibGateway/TrafficReport.h
@@ -21,8 +21,8 @@
   std::vector<workspace_usage> mWindowUsage;
   /// Servers that failed while they ran a request, since the last report.
   std::vector<crash_count> mCrashes;
-  /// Versions of weights in answers that are newer than in the servers'
-  /// entries.
+  /// Versions of weights that answers showed and that are newer than those in
+  /// the servers' entries.
   std::vector<observed_weights> mWeights;
   /// Servers at whose address another server answered.
   std::vector<server_identity> mReplaced;
