--- a/Tests/LibGateway/TestGatewayAnswers.cpp
+++ b/Tests/LibGateway/TestGatewayAnswers.cpp
@@ -9,9 +9,9 @@
 
 using tcp = boost::asio::ip::tcp;
 
-// Guards against an answer that mixes bytes of two servers: an answer of
-// unknown length breaks off after its first part, and another server answers
-// completely.
+// Guards against an answer that mixes bytes of two servers, found on day
+// trouble-2: an answer of unknown length breaks off after its first part, and
+// another server answers completely.
 TEST_F(TestGateway, BrokenAnswerOfUnknownLengthIsReplacedCompletely)
 {
   std::string const broken =
