--- a/Libraries/LibFleet/ComposeReport.cpp
+++ b/Libraries/LibFleet/ComposeReport.cpp
@@ -39,8 +39,8 @@
   aTo.insert(aTo.end(), aFrom.begin(), aFrom.end());
 }
 
-// Keeps the newest lease and the first reader by id of all instances that the
-// report covers.
+// Keeps the newest lease, with the servers that its holder is updating, and the
+// first reader by id of all instances that the report covers.
 void
 MergeLeaseAndReader(fleet_report& aReport, fleet_report const& aOther)
 {
--- a/Libraries/LibFleet/FleetControl.h
+++ b/Libraries/LibFleet/FleetControl.h
@@ -257,7 +257,9 @@
   fleet_links<fleet_control> mLinks;
   order_driver<Dialect> mOrderDriver;
   fleet_view mView;
+  /// What this instance admitted since its start.
   std::vector<workspace_usage> mOwnUsage;
+  /// What all instances admitted in the last quota window.
   std::vector<workspace_usage> mWindowUsage;
   boost::asio::steady_timer mTimer;
   bool mIsLeaving = false;
--- a/Libraries/LibFleet/FleetDialect.h
+++ b/Libraries/LibFleet/FleetDialect.h
@@ -51,6 +51,7 @@
   {
     Dialect::ReadRecords(aText, aOffset)
     } -> std::same_as<topic_page>;
+  // The content of a record, by its key and its value.
   {
     Dialect::ReadOperatorRecord(aText, aText)
     } -> std::same_as<operator_record>;
--- a/Libraries/LibFleet/InstanceRegistration.h
+++ b/Libraries/LibFleet/InstanceRegistration.h
@@ -48,8 +48,8 @@
   }
 
 private:
-  // Instances register once, so the topic is read again only to find instances
-  // that couldn't be reached at first.
+  // Instances register once, so the topic is read again only to find those that
+  // registered after the last read, or that a failed read missed.
   static constexpr std::chrono::seconds kReadInterval{ 20 };
   static constexpr std::chrono::milliseconds kRegisterRetryDelay{ 700 };
 
--- a/Libraries/LibFleet/OrderDriver.h
+++ b/Libraries/LibFleet/OrderDriver.h
@@ -27,7 +27,9 @@
 class order_driver
 {
 public:
+  /// Receives the weights that an engine reports.
   using weights_handler = std::function<void(observed_weights)>;
+  /// Receives a server at whose address another one answered.
   using address_taken_handler = std::function<void(server_identity)>;
 
   order_driver(http_client& aClient,
@@ -86,7 +88,8 @@
   [[nodiscard]] std::uint64_t Lease() const { return mLease.HeldOffset(); }
 
 private:
-  // By then the link of a failed holder is known to be down.
+  // From mVacantSince to acquiring the lease; by then the link of a failed
+  // holder is known to be down.
   static constexpr std::chrono::milliseconds kVacancyDelay{ 600 };
   // Each instance waits this much longer than the one ranked before it.
   static constexpr std::chrono::milliseconds kRankDelay{ 400 };
@@ -234,6 +237,9 @@
   weights_handler mHandler;
   address_taken_handler mAddressTakenHandler;
   system_clock mClock;
+  /// When a live peer was last known to hold a newer lease, or an append of
+  /// this instance conflicted or got no answer; until then, kStartDelay after
+  /// the start.
   instant mVacantSince{};
   bool mIsStoreBusy = false;
 };
--- a/Libraries/LibFleet/OrderLease.h
+++ b/Libraries/LibFleet/OrderLease.h
@@ -72,8 +72,10 @@
   instant mSentAt{};
   /// The earliest time at which orders may be given.
   instant mNotBefore{};
+  /// When the record of the held lease was sent.
   instant mHeldSince{};
   std::optional<std::uint64_t> mHeldOffset;
+  /// The offset after the newest record; empty when the topic must be read.
   std::optional<std::uint64_t> mTopicEnd;
   /// The offset of the newest record of another instance, and when this
   /// instance first learned of it.
--- a/Libraries/LibFleet/PeerRegistry.cpp
+++ b/Libraries/LibFleet/PeerRegistry.cpp
@@ -9,7 +9,8 @@
 
 namespace {
 
-// A child whose parent failed has another one by then.
+// How long the ready instances in the roster of a former parent stay in use. A
+// child whose parent failed has another one by then.
 constexpr duration kFormerParentRosterUse = std::chrono::seconds{ 3 };
 
 }
@@ -94,6 +95,8 @@
   MarkUnreported(aNow, before);
   for (roster_entry const& entry : aRoster.mEntries)
     mKnown.OnObserved(aNow, entry.mHello);
+  // A roster that contains more than the peer itself replaces that of the
+  // former parent.
   if (aRoster.mEntries.size() > 1)
     mFormerParentRoster = {};
   return true;
--- a/Libraries/LibFleet/ReaderElection.h
+++ b/Libraries/LibFleet/ReaderElection.h
@@ -38,10 +38,11 @@
   [[nodiscard]] bool IsReading(instant aNow) const;
 
 private:
-  // A configuration is in force within 2 s of its acknowledgement, and a
-  // leaving server gets no more work after 2 s; an interval below half a second
-  // leaves time for a read that fails.
+  // A configuration must be in force within 2 s of its acknowledgement, and a
+  // leaving server must get no more work after 2 s; an interval below half a
+  // second leaves time for a read that fails.
   static constexpr std::chrono::milliseconds kPollInterval{ 400 };
+  // For this long after an answered read this instance counts as reading.
   static constexpr std::chrono::milliseconds kAnswerFreshness{ 1'100 };
   // Relayed records arrive before the next report of the peer that relayed
   // them, so a longer lag means that some were lost.
--- a/Libraries/LibFleet/ReportExchange.h
+++ b/Libraries/LibFleet/ReportExchange.h
@@ -84,6 +84,7 @@
 
   void UpdateTopology(instant aNow);
   void ReleaseUnused(instant aNow);
+  // The scope of the reports to send over a link; empty when none are sent.
   [[nodiscard]] std::optional<report_scope> ScopeTo(
     instant aNow,
     peer_link const& aLink) const;
--- a/Libraries/LibFleet/ReportTopology.cpp
+++ b/Libraries/LibFleet/ReportTopology.cpp
@@ -41,7 +41,8 @@
   return aFirst.mIdentity.mInstance < aSecond.mIdentity.mInstance;
 }
 
-// Returns the roots of one failure domain; reorders aDomain.
+// Returns the roots of one failure domain, one for every aBranch instances;
+// reorders aDomain.
 std::span<peer_hello const* const>
 RootsOf(members& aDomain, std::size_t aBranch)
 {
@@ -83,6 +84,8 @@
            .mContacts = { Contact(aParent) } };
 }
 
+// Finds the parent so far; null when it is missing from aOthers or no longer
+// precedes aSelf.
 peer_hello const*
 FindParent(peer_hello const& aSelf,
            std::span<peer_hello const> aOthers,
--- a/Libraries/LibFleet/RollingUpdatePlan.h
+++ b/Libraries/LibFleet/RollingUpdatePlan.h
@@ -19,8 +19,8 @@
 /// a share of each pool at a time.
 ///
 /// A server is first withdrawn from new work on all instances, then ordered to
-/// load the weights, so that it finishes its runs while no new ones start. The
-/// instances prefer servers that are updated for new work.
+/// load the weights at once: its runs continue, and no new ones start until it
+/// has the weights. The instances prefer servers that are updated for new work.
 class rolling_update_plan
 {
 public:
--- a/Libraries/LibFleet/RollingUpdateTiming.h
+++ b/Libraries/LibFleet/RollingUpdateTiming.h
@@ -22,7 +22,8 @@
   /// no faster.
   duration mFirstStateRequestDelay = std::chrono::milliseconds{ 450 };
   duration mStateRequestInterval = std::chrono::milliseconds{ 150 };
-  /// From an order to its retry when it had no effect.
+  /// From an order to its retry when it had no effect, and from the answer that
+  /// refused or fenced an order to its retry.
   duration mRetryDelay = std::chrono::milliseconds{ 1'500 };
   /// From an answer that the engine is busy to the next request of its state.
   duration mBusyDelay = std::chrono::milliseconds{ 400 };
--- a/Libraries/LibFleet/ServerRegistry.h
+++ b/Libraries/LibFleet/ServerRegistry.h
@@ -57,6 +57,7 @@
 
   std::map<backend_server_id, entry> mEntries;
   bool mIsStoreUnreachable = false;
+  /// When the last outage of the store ended; empty before the first one.
   std::optional<instant> mStoreReachableSince;
 };
 
--- a/Libraries/LibFleet/TopicReader.h
+++ b/Libraries/LibFleet/TopicReader.h
@@ -41,8 +41,9 @@
   /// Makes the next read return the newest record of each key.
   void Refresh() { mIsFullReadDue = true; }
 
-  /// Reads the records that were appended since the last read; aDone receives
-  /// how the read ended. Does nothing while a read runs.
+  /// Reads the records from NextOffset() on; while that is empty, and after
+  /// Refresh(), the newest record of each key instead. aDone receives how the
+  /// read ended. Does nothing while a read runs.
   void Read(end_handler aDone)
   {
     if (std::exchange(mIsReading, true))
@@ -142,7 +143,9 @@
       mNextOffset.reset();
       return End(store_read_status::Failed);
     }
-    // Another instance may have passed on records while this read ran.
+    // When another instance passed on all of these records while this read ran,
+    // they aren't handed on again. An empty page is, as it shows that the store
+    // answers.
     std::uint64_t const from = mReadFrom;
     std::uint64_t const next = from + page.mRecords.size();
     page.mEnd = next;
