--- a/Libraries/LibAdmin/FormatOutcome.cpp
+++ b/Libraries/LibAdmin/FormatOutcome.cpp
@@ -1,7 +1,7 @@
 #include <LibAdmin/FormatOutcome.h>
 #include <LibCodec/JsonText.h>
-#include <LibCodec/OutcomeForms.h>
-#include <LibCodec/RowChangeForm.h>
+#include <LibCodec/OutcomeSerializers.h>
+#include <LibCodec/RowChangeSerializer.h>
 
 #include <nlohmann/json.hpp>
 
--- a/Libraries/LibAdmin/RowCalls.cpp
+++ b/Libraries/LibAdmin/RowCalls.cpp
@@ -1,8 +1,8 @@
 #include <LibAdmin/FormatOutcome.h>
 #include <LibAdmin/RowCalls.h>
 #include <LibCodec/JsonText.h>
-#include <LibCodec/RowForms.h>
-#include <LibCodec/TableForms.h>
+#include <LibCodec/RowSerializers.h>
+#include <LibCodec/TableSerializers.h>
 #include <LibConfig/ConfigTable.h>
 #include <LibCore/InvalidInput.h>
 
--- a/Libraries/LibCodec/Base64Form.cpp
+++ b/Libraries/LibCodec/Base64Serializer.cpp
@@ -1,6 +1,6 @@
-#include <LibCodec/Base64Form.h>
+#include <LibCodec/Base64Serializer.h>
 #include <LibCodec/JsonFault.h>
-#include <LibCodec/ScalarForms.h>
+#include <LibCodec/ScalarSerializers.h>
 
 #include <openssl/evp.h>
 
--- a/Libraries/LibCodec/Base64Form.h
+++ b/Libraries/LibCodec/Base64Serializer.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include <LibCodec/JsonForm.h>
+#include <LibCodec/JsonSerializer.h>
 
 #include <string>
 
--- a/Libraries/LibCodec/CheckpointCodec.cpp
+++ b/Libraries/LibCodec/CheckpointCodec.cpp
@@ -1,8 +1,8 @@
 #include <LibCodec/CheckpointCodec.h>
-#include <LibCodec/ContainerForms.h>
+#include <LibCodec/ContainerSerializers.h>
 #include <LibCodec/JsonText.h>
-#include <LibCodec/ObjectForm.h>
-#include <LibCodec/ScalarForms.h>
+#include <LibCodec/ObjectSerializer.h>
+#include <LibCodec/ScalarSerializers.h>
 
 #include <tuple>
 
--- a/Libraries/LibCodec/ClaimCheckpoint.cpp
+++ b/Libraries/LibCodec/ClaimCheckpoint.cpp
@@ -1,6 +1,6 @@
 #include <LibCodec/ClaimCheckpoint.h>
 #include <LibCodec/JsonText.h>
-#include <LibCodec/RecordForms.h>
+#include <LibCodec/RecordSerializers.h>
 
 namespace lycheeseam {
 
--- a/Libraries/LibCodec/ConfigCheckpoint.cpp
+++ b/Libraries/LibCodec/ConfigCheckpoint.cpp
@@ -1,7 +1,7 @@
 #include <LibCodec/ConfigCheckpoint.h>
 #include <LibCodec/JsonText.h>
-#include <LibCodec/OutcomeForms.h>
-#include <LibCodec/TableForms.h>
+#include <LibCodec/OutcomeSerializers.h>
+#include <LibCodec/TableSerializers.h>
 
 #include <deque>
 #include <vector>
--- a/Libraries/LibCodec/ConfigFileCodec.cpp
+++ b/Libraries/LibCodec/ConfigFileCodec.cpp
@@ -1,5 +1,5 @@
 #include <LibCodec/ConfigFileCodec.h>
-#include <LibCodec/ConfigFileForm.h>
+#include <LibCodec/ConfigFileSerializer.h>
 #include <LibCodec/JsonText.h>
 
 namespace lycheeseam {
--- a/Libraries/LibCodec/ConfigFileForm.h
+++ b/Libraries/LibCodec/ConfigFileSerializer.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include <LibCodec/RowForms.h>
+#include <LibCodec/RowSerializers.h>
 #include <LibConfig/ConfigFile.h>
 
 #include <tuple>
--- a/Libraries/LibCodec/ContainerForms.h
+++ b/Libraries/LibCodec/ContainerSerializers.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include <LibCodec/JsonFault.h>
-#include <LibCodec/JsonForm.h>
+#include <LibCodec/JsonSerializer.h>
 
 #include <optional>
 #include <vector>
--- a/Libraries/LibCodec/EnumNames.h
+++ b/Libraries/LibCodec/EnumNames.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include <LibCodec/EnumForm.h>
+#include <LibCodec/EnumSerializer.h>
 #include <LibConfig/FencingSupport.h>
 #include <LibConfig/Idempotency.h>
 #include <LibConfig/PoolKind.h>
--- a/Libraries/LibCodec/JsonText.h
+++ b/Libraries/LibCodec/JsonText.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include <LibCodec/CodecError.h>
-#include <LibCodec/JsonForm.h>
+#include <LibCodec/JsonSerializer.h>
 
 #include <string>
 #include <string_view>
--- a/Libraries/LibCodec/ObjectForm.cpp
+++ b/Libraries/LibCodec/ObjectSerializer.cpp
@@ -1,4 +1,4 @@
-#include <LibCodec/ObjectForm.h>
+#include <LibCodec/ObjectSerializer.h>
 
 namespace lycheeseam {
 
--- a/Libraries/LibCodec/ObjectForm.h
+++ b/Libraries/LibCodec/ObjectSerializer.h
@@ -2,7 +2,7 @@
 
 #include <LibCodec/JsonFault.h>
 #include <LibCodec/JsonField.h>
-#include <LibCodec/JsonForm.h>
+#include <LibCodec/JsonSerializer.h>
 
 #include <algorithm>
 #include <array>
--- a/Libraries/LibCodec/RecordForms.h
+++ b/Libraries/LibCodec/RecordSerializers.h
@@ -1,13 +1,13 @@
 #pragma once
 
-#include <LibCodec/Base64Form.h>
-#include <LibCodec/ContainerForms.h>
+#include <LibCodec/Base64Serializer.h>
+#include <LibCodec/ContainerSerializers.h>
 #include <LibCodec/EnumNames.h>
-#include <LibCodec/ObjectForm.h>
-#include <LibCodec/RowChangeForm.h>
-#include <LibCodec/RowForms.h>
-#include <LibCodec/ScalarForms.h>
-#include <LibCodec/VariantForm.h>
+#include <LibCodec/ObjectSerializer.h>
+#include <LibCodec/RowChangeSerializer.h>
+#include <LibCodec/RowSerializers.h>
+#include <LibCodec/ScalarSerializers.h>
+#include <LibCodec/VariantSerializer.h>
 #include <LibRecords/LogRecord.h>
 
 #include <tuple>
--- a/Libraries/LibCodec/RowChangeForm.h
+++ b/Libraries/LibCodec/RowChangeSerializer.h
@@ -1,7 +1,7 @@
 #pragma once
 
-#include <LibCodec/RowForms.h>
-#include <LibCodec/VariantForm.h>
+#include <LibCodec/RowSerializers.h>
+#include <LibCodec/VariantSerializer.h>
 #include <LibRecords/RowChange.h>
 
 #include <tuple>
--- a/Libraries/LibCodec/RowForms.h
+++ b/Libraries/LibCodec/RowSerializers.h
@@ -1,9 +1,9 @@
 #pragma once
 
-#include <LibCodec/ContainerForms.h>
+#include <LibCodec/ContainerSerializers.h>
 #include <LibCodec/EnumNames.h>
-#include <LibCodec/ObjectForm.h>
-#include <LibCodec/ScalarForms.h>
+#include <LibCodec/ObjectSerializer.h>
+#include <LibCodec/ScalarSerializers.h>
 #include <LibConfig/KeyRow.h>
 #include <LibConfig/PoolRow.h>
 #include <LibConfig/RouteRow.h>
--- a/Libraries/LibCodec/SlotCheckpoint.cpp
+++ b/Libraries/LibCodec/SlotCheckpoint.cpp
@@ -1,5 +1,5 @@
 #include <LibCodec/JsonText.h>
-#include <LibCodec/RecordForms.h>
+#include <LibCodec/RecordSerializers.h>
 #include <LibCodec/SlotCheckpoint.h>
 
 namespace lycheeseam {
--- a/Libraries/LibCodec/TableForms.h
+++ b/Libraries/LibCodec/TableSerializers.h
@@ -1,8 +1,8 @@
 #pragma once
 
-#include <LibCodec/ContainerForms.h>
-#include <LibCodec/ObjectForm.h>
-#include <LibCodec/RowForms.h>
+#include <LibCodec/ContainerSerializers.h>
+#include <LibCodec/ObjectSerializer.h>
+#include <LibCodec/RowSerializers.h>
 #include <LibConfig/ConfigTable.h>
 
 #include <map>
--- a/Libraries/LibPlatform/PlatformForms.h
+++ b/Libraries/LibPlatform/PlatformForms.h
@@ -1,9 +1,9 @@
 #pragma once
 
-#include <LibCodec/ContainerForms.h>
-#include <LibCodec/EnumForm.h>
-#include <LibCodec/ObjectForm.h>
-#include <LibCodec/ScalarForms.h>
+#include <LibCodec/ContainerSerializers.h>
+#include <LibCodec/EnumSerializer.h>
+#include <LibCodec/ObjectSerializer.h>
+#include <LibCodec/ScalarSerializers.h>
 #include <LibPlatform/AppendReply.h>
 #include <LibPlatform/InstanceList.h>
 #include <LibPlatform/ReadReply.h>
--- a/Libraries/LibRecords/CheckpointedFold.h
+++ b/Libraries/LibRecords/CheckpointedFold.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include <LibRecords/CheckpointForm.h>
+#include <LibRecords/CheckpointSerializer.h>
 #include <LibRecords/LogFold.h>
 
 #include <concepts>
--- a/StandIns/Platform/FaultForm.h
+++ b/StandIns/Platform/FaultForm.h
@@ -1,8 +1,8 @@
 #pragma once
 
 #include "FaultSettings.h"
-#include <LibCodec/ObjectForm.h>
-#include <LibCodec/ScalarForms.h>
+#include <LibCodec/ObjectSerializer.h>
+#include <LibCodec/ScalarSerializers.h>
 
 #include <tuple>
 
