--- a/Libraries/LibCodec/ConfigCheckpoint.cpp
+++ b/Libraries/LibCodec/ConfigCheckpoint.cpp
@@ -33,7 +33,7 @@
 {
   static constexpr std::tuple kFields{
     RequiredField("tables", &config_state::mTables),
-    RequiredField("recent", &config_state::mRecent),
+    RequiredField("recent", &config_state::mRecentOutcomes),
   };
 };
 
--- a/Libraries/LibConfigLog/ConfigDiff.cpp
+++ b/Libraries/LibConfigLog/ConfigDiff.cpp
@@ -22,10 +22,10 @@
   using table = config_table<Row>;
   std::map<typename table::name, versioned<Row>> const& rows =
     aTables.*table::kRows;
-  std::set<typename table::name> kept;
+  std::set<typename table::name> wantedNames;
   for (Row const& row : *aWanted) {
     typename table::name const& name = table::NameOf(row);
-    kept.insert(name);
+    wantedNames.insert(name);
     auto const found = rows.find(name);
     if (found != rows.end() && found->second.mRow == row)
       continue;
@@ -33,7 +33,7 @@
       change_of<Row>{ name, VersionOf<Row>(aTables, name), row });
   }
   for (auto const& [name, entry] : rows) {
-    if (!kept.contains(name))
+    if (!wantedNames.contains(name))
       aChanges.push_back(change_of<Row>{ name, entry.mVersion, std::nullopt });
   }
 }
--- a/Libraries/LibConfigLog/ConfigFold.cpp
+++ b/Libraries/LibConfigLog/ConfigFold.cpp
@@ -13,7 +13,7 @@
 config_fold::Apply(log_entry const& aEntry)
 {
   assert(aEntry.mOffset > mState.mTables.mOffset);
-  ForgetOldOutcomes(aEntry.mOffset);
+  DiscardOldOutcomes(aEntry.mOffset);
   if (config_proposal const* proposal =
         std::get_if<config_proposal>(&aEntry.mRecord))
     ApplyProposal(*proposal, aEntry.mOffset);
@@ -23,22 +23,22 @@
 proposal_outcome const*
 config_fold::FindOutcome(proposal_id const& aProposal) const
 {
-  auto const found =
-    std::ranges::find(mState.mRecent, aProposal, &proposal_outcome::mProposal);
-  return found == mState.mRecent.end() ? nullptr : &*found;
+  auto const found = std::ranges::find(
+    mState.mRecentOutcomes, aProposal, &proposal_outcome::mProposal);
+  return found == mState.mRecentOutcomes.end() ? nullptr : &*found;
 }
 
 void
 config_fold::ApplyProposal(config_proposal const& aProposal, log_offset aOffset)
 {
-  // Beyond its last offset it doesn't count, and isn't remembered either: it
-  // may be the double of one whose outcome has been forgotten.
+  // A proposal past its last offset is ignored and gets no outcome: it may be
+  // a duplicate of one whose outcome has been discarded.
   if (aOffset > aProposal.mOrigin.mLastOffset)
     return;
-  // An append may land twice; the first landing decided it.
+  // A retried append may enter the log twice; the first entry decides.
   if (FindOutcome(aProposal.mOrigin.mProposal))
     return;
-  Remember(Decide(aProposal, aOffset));
+  KeepOutcome(Decide(aProposal, aOffset));
 }
 
 proposal_outcome
@@ -57,7 +57,8 @@
     return outcome;
   }
 
-  // All rows change or none: the rules look at the tables as they would be.
+  // All rows change or none, so the rules are checked on a changed copy of the
+  // tables.
   config_tables next = mState.mTables;
   WriteRows(next, aProposal.mChanges, row_version{ aOffset.Value() });
   outcome.mFaults = CheckChangedTables(next, aProposal.mChanges);
@@ -70,22 +71,27 @@
 }
 
 void
-config_fold::Remember(proposal_outcome aOutcome)
+config_fold::KeepOutcome(proposal_outcome aOutcome)
 {
-  auto const place = std::ranges::upper_bound(
-    mState.mRecent, aOutcome.mLastOffset, {}, &proposal_outcome::mLastOffset);
-  mState.mRecent.insert(place, std::move(aOutcome));
+  auto const position =
+    std::ranges::upper_bound(mState.mRecentOutcomes,
+                             aOutcome.mLastOffset,
+                             {},
+                             &proposal_outcome::mLastOffset);
+  mState.mRecentOutcomes.insert(position, std::move(aOutcome));
 }
 
 void
-config_fold::ForgetOldOutcomes(log_offset aOffset)
+config_fold::DiscardOldOutcomes(log_offset aOffset)
 {
-  // A double of an older proposal is past its last offset.
-  auto const isOld = [aOffset](proposal_outcome const& aOutcome) {
-    return aOutcome.mLastOffset.Value() + kOutcomeMemory < aOffset.Value();
+  // A later duplicate of a proposal whose outcome is discarded here is past
+  // its last offset, so it is ignored.
+  auto const isExpired = [aOffset](proposal_outcome const& aOutcome) {
+    return aOutcome.mLastOffset.Value() + kOutcomeRetention < aOffset.Value();
   };
-  while (!mState.mRecent.empty() && isOld(mState.mRecent.front()))
-    mState.mRecent.pop_front();
+  while (!mState.mRecentOutcomes.empty() &&
+         isExpired(mState.mRecentOutcomes.front()))
+    mState.mRecentOutcomes.pop_front();
 }
 
 }
--- a/Libraries/LibConfigLog/ConfigRule.h
+++ b/Libraries/LibConfigLog/ConfigRule.h
@@ -2,28 +2,31 @@
 
 namespace lycheeseam {
 
-/// What a proposal can break.
+/// A rule that every proposal must keep.
 enum class config_rule
 {
-  /// It has changes, and changes each row once.
+  /// A proposal has at least one change, and changes each row at most once.
   DistinctChanges,
-  /// Its last offset is not too far ahead.
+  /// Its last offset is at most config_fold's limit ahead of its own offset.
   LastOffset,
-  /// A row's name is well formed and the one it is filed under.
+  /// A row's name is well formed and equals the name in its change.
   RowName,
-  /// A row's numbers lie within their bounds.
+  /// A row's numbers and texts lie within their bounds.
   Bounds,
-  /// A route's path prefix starts with a slash and is taken once a model.
+  /// A route's path prefix starts with a slash, and no other route has the
+  /// same prefix and model.
   PathPrefix,
-  /// A row names a pool that exists and suits it.
+  /// A route names a pool that exists; a route with a model names a model
+  /// pool.
   MissingPool,
-  /// A pool that routes name stays.
+  /// A pool that a route names can't be removed.
   PoolInUse,
   /// A key names a workspace that exists.
   MissingWorkspace,
-  /// A workspace that keys name stays.
+  /// A workspace that a key names can't be removed.
   WorkspaceInUse,
-  /// A pool's servers are well formed and listed once.
+  /// A pool's servers are well formed and listed once, and a server has the
+  /// same address in every pool.
   Servers,
 };
 
--- a/Libraries/LibConfigLog/ConfigState.h
+++ b/Libraries/LibConfigLog/ConfigState.h
@@ -7,13 +7,13 @@
 
 namespace lycheeseam {
 
-/// Everything that the fold of the configuration knows; a checkpoint's part.
+/// The complete state of config_fold, which a checkpoint stores.
 struct config_state
 {
   config_tables mTables;
-  /// Outcomes of proposals whose doubles may still land, and some older ones,
-  /// in the order of their last offsets.
-  std::deque<proposal_outcome> mRecent;
+  /// Outcomes of proposals whose duplicates may still count, and some older
+  /// ones, in the order of their last offsets.
+  std::deque<proposal_outcome> mRecentOutcomes;
 
   bool operator==(config_state const&) const = default;
 };
--- a/Libraries/LibConfigLog/ProposalCheck.cpp
+++ b/Libraries/LibConfigLog/ProposalCheck.cpp
@@ -12,12 +12,12 @@
 namespace {
 
 config_fault
-FarFault()
+LastOffsetFault()
 {
   return { .mRule = config_rule::LastOffset,
            .mReason = "the last offset lies more than " +
-                      std::to_string(config_fold::kLongestWindow) +
-                      " beyond the proposal's own" };
+                      std::to_string(config_fold::kMaxLastOffsetLead) +
+                      " beyond the proposal's own offset" };
 }
 
 void
@@ -41,8 +41,8 @@
 {
   std::vector<config_fault> faults;
   log_offset const last = aProposal.mOrigin.mLastOffset;
-  if (last.Value() > aOffset.Value() + config_fold::kLongestWindow)
-    faults.push_back(FarFault());
+  if (last.Value() > aOffset.Value() + config_fold::kMaxLastOffsetLead)
+    faults.push_back(LastOffsetFault());
   if (aProposal.mChanges.empty())
     faults.push_back({ .mRule = config_rule::DistinctChanges,
                        .mReason = "the proposal changes nothing" });
--- a/Libraries/LibConfigLog/ProposalOutcome.h
+++ b/Libraries/LibConfigLog/ProposalOutcome.h
@@ -9,13 +9,14 @@
 
 namespace lycheeseam {
 
-/// The definite end of a proposal, the same on every instance.
+/// The final result of a proposal, the same on every instance.
 struct proposal_outcome
 {
   proposal_id mProposal;
-  /// Where it landed; the version of the rows that it wrote.
+  /// The proposal's offset in the log, which is the version of the rows that
+  /// it wrote.
   log_offset mOffset;
-  /// No double counts beyond this offset.
+  /// Entries of the same proposal past this offset are ignored.
   log_offset mLastOffset;
   proposal_status mStatus = proposal_status::Refused;
   std::vector<row_conflict> mConflicts;
--- a/Libraries/LibConfigLog/ProposalStatus.h
+++ b/Libraries/LibConfigLog/ProposalStatus.h
@@ -2,14 +2,15 @@
 
 namespace lycheeseam {
 
-/// What the fold made of a proposal.
+/// How the fold decided a proposal.
 enum class proposal_status
 {
-  /// All its changes are in force.
+  /// All of its changes are in force.
   Accepted,
-  /// A row it changes had been changed before; nothing is in force.
+  /// A row was changed after the proposal's author read it; none of the
+  /// changes is in force.
   Conflict,
-  /// It breaks a rule; nothing is in force.
+  /// It breaks a rule; none of its changes is in force.
   Refused,
 };
 
--- a/Libraries/LibConfigLog/ReferenceCheck.cpp
+++ b/Libraries/LibConfigLog/ReferenceCheck.cpp
@@ -16,19 +16,20 @@
   return std::ranges::find(aChanges, aRow, &RowOf) != aChanges.end();
 }
 
-// The fault is the removal's when this proposal removes what is named.
+// Reports the fault on the named row when this proposal removes it, else on the
+// row that names it.
 config_fault
-DanglingFault(row_reference const& aFrom,
-              row_reference const& aTo,
-              bool aIsRemoved,
-              config_rule aMissing,
-              config_rule aInUse)
+DanglingReferenceFault(row_reference const& aFrom,
+                       row_reference const& aTo,
+                       bool aIsRemoved,
+                       config_rule aMissing,
+                       config_rule aInUse)
 {
   if (aIsRemoved)
-    return { aInUse, aTo, "it is still named by \"" + aFrom.mName + "\"" };
+    return { aInUse, aTo, "it is still used by \"" + aFrom.mName + "\"" };
   return { aMissing,
            aFrom,
-           "it names \"" + aTo.mName + "\", which is missing" };
+           "it refers to \"" + aTo.mName + "\", which is missing" };
 }
 
 void
@@ -41,18 +42,18 @@
   row_reference const named{ table_kind::Pools, aRoute.mPool.Text() };
   pool_row const* const pool = aTables.FindPool(aRoute.mPool);
   if (!pool) {
-    aFaults.push_back(DanglingFault(route,
-                                    named,
-                                    IsChanged(named, aChanges),
-                                    config_rule::MissingPool,
-                                    config_rule::PoolInUse));
+    aFaults.push_back(DanglingReferenceFault(route,
+                                             named,
+                                             IsChanged(named, aChanges),
+                                             config_rule::MissingPool,
+                                             config_rule::PoolInUse));
     return;
   }
   if (!aRoute.mModel.IsEmpty() && pool->mKind != pool_kind::Model)
-    aFaults.push_back(
-      { config_rule::MissingPool,
-        route,
-        "it serves a model, but \"" + named.mName + "\" is no model pool" });
+    aFaults.push_back({ config_rule::MissingPool,
+                        route,
+                        "it has a model, but pool \"" + named.mName +
+                          "\" is not a model pool" });
 }
 
 void
@@ -64,23 +65,25 @@
   if (aTables.FindWorkspace(aKey.mWorkspace))
     return;
   row_reference const named{ table_kind::Workspaces, aKey.mWorkspace.Text() };
-  aFaults.push_back(DanglingFault({ table_kind::Keys, aKey.mDigest.Hex() },
-                                  named,
-                                  IsChanged(named, aChanges),
-                                  config_rule::MissingWorkspace,
-                                  config_rule::WorkspaceInUse));
+  aFaults.push_back(
+    DanglingReferenceFault({ table_kind::Keys, aKey.mDigest.Hex() },
+                           named,
+                           IsChanged(named, aChanges),
+                           config_rule::MissingWorkspace,
+                           config_rule::WorkspaceInUse));
 }
 
-// Two routes for the same path and model would leave the choice to chance.
+// Two routes with the same path prefix and model would make routing
+// ambiguous.
 void
 CheckDistinctPrefixes(config_tables const& aTables,
                       std::vector<config_fault>& aFaults)
 {
-  using path_key = std::tuple<std::string_view, model_name>;
-  std::map<path_key, route_name> taken;
+  using route_key = std::tuple<std::string_view, model_name>;
+  std::map<route_key, route_name> routesByKey;
   for (auto const& [name, entry] : aTables.mRoutes) {
-    path_key const key{ entry.mRow.mPathPrefix, entry.mRow.mModel };
-    auto const [other, isNew] = taken.emplace(key, name);
+    route_key const key{ entry.mRow.mPathPrefix, entry.mRow.mModel };
+    auto const [other, isNew] = routesByKey.emplace(key, name);
     if (!isNew)
       aFaults.push_back({ config_rule::PathPrefix,
                           { table_kind::Routes, name.Text() },
@@ -89,7 +92,8 @@
   }
 }
 
-// Load and cache knowledge are kept by server id, over all pools.
+// Load and cached prefixes are tracked by server id over all pools, so an id
+// must mean the same server in each of them.
 void
 CheckServerAddresses(config_tables const& aTables,
                      std::vector<config_fault>& aFaults)
--- a/Libraries/LibConfigLog/ReferenceCheck.h
+++ b/Libraries/LibConfigLog/ReferenceCheck.h
@@ -9,8 +9,9 @@
 
 namespace lycheeseam {
 
-/// Checks that rows which name others name ones that exist and suit, in
-/// tables as they would be after the changes.
+/// Checks the references between rows in the tables as they would be after the
+/// changes: named rows exist and are of the right kind, no two routes match the
+/// same requests, and a server has one address.
 void
 CheckReferences(config_tables const& aChanged,
                 std::span<any_row_change const> aChanges,
--- a/Libraries/LibConfigLog/RowChanges.cpp
+++ b/Libraries/LibConfigLog/RowChanges.cpp
@@ -8,13 +8,13 @@
 row_reference
 RowOf(any_row_change const& aChange)
 {
-  auto const refer =
+  auto const makeReference =
     []<typename Name, typename Row>(row_change<Name, Row> const& aTyped) {
       using table = config_table<Row>;
       return row_reference{ .mTable = table::kKind,
                             .mName = table::Text(aTyped.mName) };
     };
-  return std::visit(refer, aChange);
+  return std::visit(makeReference, aChange);
 }
 
 std::vector<row_conflict>
--- a/Libraries/LibConfigLog/RowChanges.h
+++ b/Libraries/LibConfigLog/RowChanges.h
@@ -7,20 +7,20 @@
 #include <span>
 #include <vector>
 
-/// \file What a list of row changes means for the tables.
+/// \file Compares lists of row changes with the tables and applies them.
 
 namespace lycheeseam {
 
-/// The row that a change is about.
+/// Returns the row that a change writes or deletes.
 row_reference
 RowOf(any_row_change const& aChange);
 
-/// The rows whose version isn't the one that their change is based on.
+/// Returns the rows whose version differs from the base of their change.
 std::vector<row_conflict>
 FindConflicts(config_tables const& aTables,
               std::span<any_row_change const> aChanges);
 
-/// Writes and deletes rows; those written get the version.
+/// Writes and deletes rows; written rows get the version aVersion.
 void
 WriteRows(config_tables& aTables,
           std::span<any_row_change const> aChanges,
--- a/Libraries/LibConfigLog/RowCheck.h
+++ b/Libraries/LibConfigLog/RowCheck.h
@@ -7,11 +7,13 @@
 #include <string_view>
 #include <vector>
 
-/// \file The rules that a row keeps by itself, whatever the tables hold.
+/// \file Checks of the rules for a single row, which don't depend on other
+/// rows.
 
 namespace lycheeseam {
 
-/// True for 1 to 128 letters, digits, dots, colons, hyphens and underscores.
+/// Returns true for 1 to 128 letters, digits, dots, colons, hyphens and
+/// underscores.
 bool
 IsRowName(std::string_view aName);
 
@@ -35,7 +37,7 @@
          workspace_row const& aRow,
          std::vector<config_fault>& aFaults);
 
-/// Checks that a row is filed under its own, well-formed name.
+/// Checks that a row's name is well formed and the same as in its change.
 template<typename Name, typename Row>
 void
 CheckRowName(row_reference const& aReference,
@@ -50,7 +52,7 @@
   if (aChange.mRow && config_table<Row>::NameOf(*aChange.mRow) != aChange.mName)
     aFaults.push_back({ config_rule::RowName,
                         aReference,
-                        "the row has another name than its change" });
+                        "the row's name differs from the name in its change" });
 }
 
 }
--- a/Tests/LibConfigLog/ConfigSamples.h
+++ b/Tests/LibConfigLog/ConfigSamples.h
@@ -5,7 +5,7 @@
 #include <string_view>
 #include <vector>
 
-/// \file Rows and proposals for tests of the configuration's fold.
+/// \file Sample rows and proposals for tests of config_fold.
 
 namespace lycheeseam {
 
@@ -36,7 +36,7 @@
            .mWorkspace = workspace_id{ aWorkspace } };
 }
 
-/// Writes a row based on a version.
+/// A change that writes a row, based on version aBase.
 inline any_row_change
 Put(pool_row const& aRow, std::uint64_t aBase = 0)
 {
@@ -61,14 +61,14 @@
   return key_change{ aRow.mDigest, row_version{ aBase }, aRow };
 }
 
-/// Deletes a pool's row based on a version.
+/// A change that deletes a pool's row, based on version aBase.
 inline any_row_change
 DeletePool(std::string_view aName, std::uint64_t aBase)
 {
   return pool_change{ pool_name{ aName }, row_version{ aBase }, std::nullopt };
 }
 
-/// A proposal that counts up to an offset.
+/// A proposal that is valid up to an offset.
 inline config_proposal
 Proposal(std::string_view aId,
          std::vector<any_row_change> aChanges,
--- a/Tests/LibConfigLog/TestConfigDiff.cpp
+++ b/Tests/LibConfigLog/TestConfigDiff.cpp
@@ -6,7 +6,7 @@
 namespace lycheeseam {
 namespace {
 
-TEST(TestConfigDiff, WritesWhatDiffersAndDeletesWhatIsLeftOut)
+TEST(TestConfigDiff, WritesChangedRowsAndDeletesMissingRows)
 {
   config_fold fold;
   fold.Apply({ log_offset{ 1 },
--- a/Tests/LibConfigLog/TestConfigFold.cpp
+++ b/Tests/LibConfigLog/TestConfigFold.cpp
@@ -7,14 +7,14 @@
 class test_config_fold : public testing::Test
 {
 protected:
-  proposal_outcome const& Land(config_proposal const& aProposal)
+  proposal_outcome const& ApplyNext(config_proposal const& aProposal)
   {
     mOffset = mOffset.Next();
     mFold.Apply({ mOffset, aProposal });
     return *mFold.FindOutcome(aProposal.mOrigin.mProposal);
   }
 
-  void Pass(std::uint64_t aOffsets)
+  void ApplyNoOperations(std::uint64_t aOffsets)
   {
     for (std::uint64_t i = 0; i < aOffsets; ++i)
       mFold.Apply({ mOffset = mOffset.Next(), no_operation{} });
@@ -23,7 +23,7 @@
   void ExpectRefused(config_proposal const& aProposal, config_rule aRule)
   {
     config_tables const before = mFold.Tables();
-    proposal_outcome const& outcome = Land(aProposal);
+    proposal_outcome const& outcome = ApplyNext(aProposal);
     EXPECT_EQ(outcome.mStatus, proposal_status::Refused);
     ASSERT_FALSE(outcome.mFaults.empty());
     EXPECT_EQ(outcome.mFaults.front().mRule, aRule)
@@ -38,22 +38,24 @@
   log_offset mOffset;
 };
 
-TEST_F(test_config_fold, AcceptsRowsWithTheOffsetAsTheirVersion)
+TEST_F(test_config_fold, AcceptedRowsHaveTheOffsetAsTheirVersion)
 {
   proposal_outcome const& outcome =
-    Land(Proposal("a", { Put(PoolRow("p")), Put(RouteRow("r", "p")) }));
+    ApplyNext(Proposal("a", { Put(PoolRow("p")), Put(RouteRow("r", "p")) }));
   EXPECT_EQ(outcome.mStatus, proposal_status::Accepted);
   EXPECT_EQ(mFold.Tables().mRoutes.at(route_name{ "r" }).mVersion,
             row_version{ 1 });
 }
 
-TEST_F(test_config_fold, FirstInLogOrderWinsAndTheConflictNamesBothVersions)
+TEST_F(test_config_fold,
+       SecondChangeFromSameVersionConflictsAndNamesBothVersions)
 {
-  Land(Proposal("a", { Put(PoolRow("p")) }));
+  ApplyNext(Proposal("a", { Put(PoolRow("p")) }));
   pool_row first = PoolRow("p");
   first.mMaxOutstanding = 7;
-  Land(Proposal("b", { Put(first, 1) }));
-  proposal_outcome const& late = Land(Proposal("c", { Put(PoolRow("p"), 1) }));
+  ApplyNext(Proposal("b", { Put(first, 1) }));
+  proposal_outcome const& late =
+    ApplyNext(Proposal("c", { Put(PoolRow("p"), 1) }));
   EXPECT_EQ(late.mStatus, proposal_status::Conflict);
   ASSERT_EQ(late.mConflicts.size(), 1U);
   EXPECT_EQ(late.mConflicts.front().mBase, row_version{ 1 });
@@ -61,62 +63,64 @@
   EXPECT_EQ(mFold.Tables().FindPool(pool_name{ "p" })->mMaxOutstanding, 7U);
 }
 
-TEST_F(test_config_fold, DoubleOfAProposalChangesNothing)
+TEST_F(test_config_fold, DuplicateOfProposalChangesNothing)
 {
   config_proposal const create = Proposal("a", { Put(PoolRow("p")) });
-  Land(create);
-  Land(Proposal("b", { DeletePool("p", 1) }));
-  EXPECT_EQ(Land(create).mOffset, log_offset{ 1 });
+  ApplyNext(create);
+  ApplyNext(Proposal("b", { DeletePool("p", 1) }));
+  EXPECT_EQ(ApplyNext(create).mOffset, log_offset{ 1 });
   EXPECT_EQ(mFold.Tables().FindPool(pool_name{ "p" }), nullptr);
 }
 
-TEST_F(test_config_fold, DoubleOfAForgottenProposalChangesAndSaysNothing)
+TEST_F(test_config_fold,
+       DuplicateOfDiscardedProposalChangesNothingAndHasNoOutcome)
 {
   config_proposal const create = Proposal("a", { Put(PoolRow("p")) }, 1000);
-  Land(create);
-  Land(Proposal("b", { DeletePool("p", 1) }));
+  ApplyNext(create);
+  ApplyNext(Proposal("b", { DeletePool("p", 1) }));
   while (mFold.FindOutcome(create.mOrigin.mProposal))
-    Pass(create.mOrigin.mLastOffset.Value());
-  Pass(1);
+    ApplyNoOperations(create.mOrigin.mLastOffset.Value());
+  ApplyNoOperations(1);
   mFold.Apply({ mOffset = mOffset.Next(), create });
-  // Its author was told that it was accepted; nothing may say otherwise.
+  // The author has read that the proposal was accepted; a second outcome would
+  // contradict that.
   EXPECT_EQ(mFold.FindOutcome(create.mOrigin.mProposal), nullptr);
   EXPECT_EQ(mFold.Tables().FindPool(pool_name{ "p" }), nullptr);
 }
 
-TEST_F(test_config_fold, OnePastItsLastOffsetDoesNotCount)
+TEST_F(test_config_fold, ProposalPastItsLastOffsetIsIgnored)
 {
-  Land(Proposal("a", { Put(PoolRow("p")) }));
+  ApplyNext(Proposal("a", { Put(PoolRow("p")) }));
   config_proposal const late = Proposal("b", { Put(PoolRow("q")) }, 1);
   mFold.Apply({ mOffset = mOffset.Next(), late });
   EXPECT_EQ(mFold.FindOutcome(late.mOrigin.mProposal), nullptr);
   EXPECT_EQ(mFold.Tables().FindPool(pool_name{ "q" }), nullptr);
 }
 
-TEST_F(test_config_fold, RefusedForALastOffsetTooFarAheadStaysRefused)
+TEST_F(test_config_fold, ProposalWithLastOffsetTooFarAheadStaysRefused)
 {
-  std::uint64_t const last = 2 * config_fold::kLongestWindow + 100;
+  std::uint64_t const last = 2 * config_fold::kMaxLastOffsetLead + 100;
   config_proposal const far = Proposal("a", { Put(PoolRow("p")) }, last);
   ExpectRefused(far, config_rule::LastOffset);
-  // By now its last offset would be near enough.
-  Pass(config_fold::kLongestWindow + 200);
-  EXPECT_EQ(Land(far).mStatus, proposal_status::Refused);
+  // At this offset, the last offset is no longer too far ahead.
+  ApplyNoOperations(config_fold::kMaxLastOffsetLead + 200);
+  EXPECT_EQ(ApplyNext(far).mStatus, proposal_status::Refused);
   EXPECT_EQ(mFold.Tables().FindPool(pool_name{ "p" }), nullptr);
 }
 
-TEST_F(test_config_fold, ManyRowsChangeTogetherOrNotAtAll)
+TEST_F(test_config_fold, FaultOrConflictInOneRowKeepsAllRowsUnchanged)
 {
   ExpectRefused(
     Proposal("a", { Put(PoolRow("p")), Put(RouteRow("r", "missing")) }),
     config_rule::MissingPool);
-  Land(Proposal("b", { Put(PoolRow("p")) }));
+  ApplyNext(Proposal("b", { Put(PoolRow("p")) }));
   proposal_outcome const& stale =
-    Land(Proposal("c", { Put(PoolRow("q")), Put(PoolRow("p"), 99) }));
+    ApplyNext(Proposal("c", { Put(PoolRow("q")), Put(PoolRow("p"), 99) }));
   EXPECT_EQ(stale.mStatus, proposal_status::Conflict);
   EXPECT_EQ(mFold.Tables().FindPool(pool_name{ "q" }), nullptr);
 }
 
-TEST_F(test_config_fold, RefusesRowsThatNameWhatIsMissing)
+TEST_F(test_config_fold, RefusesReferencesToMissingRows)
 {
   ExpectRefused(Proposal("a", { Put(RouteRow("r", "p")) }),
                 config_rule::MissingPool);
@@ -124,13 +128,13 @@
                 config_rule::MissingWorkspace);
 }
 
-TEST_F(test_config_fold, RefusesToRemoveWhatIsInUse)
+TEST_F(test_config_fold, RefusesToRemoveRowsInUse)
 {
-  Land(Proposal("a",
-                { Put(PoolRow("p")),
-                  Put(RouteRow("r", "p")),
-                  Put(WorkspaceRow("w")),
-                  Put(KeyRow("k", "w")) }));
+  ApplyNext(Proposal("a",
+                     { Put(PoolRow("p")),
+                       Put(RouteRow("r", "p")),
+                       Put(WorkspaceRow("w")),
+                       Put(KeyRow("k", "w")) }));
   ExpectRefused(Proposal("b", { DeletePool("p", 1) }), config_rule::PoolInUse);
   workspace_change const remove{ workspace_id{ "w" },
                                  row_version{ 1 },
@@ -138,7 +142,7 @@
   ExpectRefused(Proposal("c", { remove }), config_rule::WorkspaceInUse);
 }
 
-TEST_F(test_config_fold, RefusesRowsOutOfBounds)
+TEST_F(test_config_fold, RefusesRowsOutOfBoundsAndDuplicateChanges)
 {
   workspace_row workspace = WorkspaceRow("w");
   workspace.mRate = 0;
@@ -156,7 +160,7 @@
                 config_rule::DistinctChanges);
 }
 
-TEST_F(test_config_fold, RefusesAmbiguousRoutes)
+TEST_F(test_config_fold, RefusesRoutesWithTheSamePathPrefixAndModel)
 {
   route_row other = RouteRow("other", "p");
   other.mPathPrefix = "/r";
@@ -165,7 +169,7 @@
     config_rule::PathPrefix);
 }
 
-TEST_F(test_config_fold, RefusesServersListedTwice)
+TEST_F(test_config_fold, RefusesServersListedTwiceOrWithTwoAddresses)
 {
   backend_server const server{ .mId = backend_server_id{ "s" },
                                .mAddress = endpoint::Parse("127.0.0.1:9000"),
