--- a/Libraries/LibCodec/ConfigCheckpoint.cpp
+++ b/Libraries/LibCodec/ConfigCheckpoint.cpp
@@ -38,13 +38,14 @@
 };
 
 std::string
-checkpoint_form<config_fold>::Save(config_fold const& aFold)
+checkpoint_serializer<config_fold>::Save(config_fold const& aFold)
 {
   return ToJsonText(aFold.State());
 }
 
 void
-checkpoint_form<config_fold>::Load(config_fold& aFold, std::string_view aText)
+checkpoint_serializer<config_fold>::Load(config_fold& aFold,
+                                         std::string_view aText)
 {
   aFold.Restore(FromJsonText<config_state>(aText));
 }
--- a/Libraries/LibCodec/ConfigCheckpoint.h
+++ b/Libraries/LibCodec/ConfigCheckpoint.h
@@ -10,7 +10,7 @@
 
 /// The configuration's section of a checkpoint.
 template<>
-struct checkpoint_form<config_fold>
+struct checkpoint_serializer<config_fold>
 {
   static std::string Save(config_fold const& aFold);
   static void Load(config_fold& aFold, std::string_view aText);
--- a/Libraries/LibCodec/FoldSet.h
+++ b/Libraries/LibCodec/FoldSet.h
@@ -69,7 +69,7 @@
   checkpoint_section Section() const
   {
     return { .mName = std::string{ Fold::kSection },
-             .mText = checkpoint_form<Fold>::Save(Get<Fold>()) };
+             .mText = checkpoint_serializer<Fold>::Save(Get<Fold>()) };
   }
 
   template<typename Fold>
@@ -79,7 +79,7 @@
       std::ranges::find(aAll, Fold::kSection, &checkpoint_section::mName);
     if (section == aAll.end())
       throw codec_error{ "$", Fold::kSection, "the section is missing" };
-    checkpoint_form<Fold>::Load(aFold, section->mText);
+    checkpoint_serializer<Fold>::Load(aFold, section->mText);
   }
 
   std::tuple<Folds...> mFolds;
--- a/Libraries/LibRecords/CheckpointSection.h
+++ b/Libraries/LibRecords/CheckpointSection.h
@@ -4,7 +4,7 @@
 
 namespace lycheeseam {
 
-/// One fold's part of a checkpoint.
+/// The state of one fold in a checkpoint, named by the fold's kSection.
 struct checkpoint_section
 {
   std::string mName;
--- a/Libraries/LibRecords/CheckpointSerializer.h
+++ b/Libraries/LibRecords/CheckpointSerializer.h
@@ -2,12 +2,12 @@
 
 namespace lycheeseam {
 
-/// How a fold's state stands in a checkpoint; specialised beside the codec of
-/// each fold with
+/// Converts a fold's state to and from its section of a checkpoint. Each
+/// checkpointed fold specialises it with
 ///   static std::string Save(Fold const&);
 ///   static void Load(Fold&, std::string_view);
-/// where Load throws invalid_input and then leaves the fold as it was.
+/// Load throws invalid_input on malformed text and leaves the fold unchanged.
 template<typename Fold>
-struct checkpoint_form;
+struct checkpoint_serializer;
 
 }
--- a/Libraries/LibRecords/CheckpointedFold.h
+++ b/Libraries/LibRecords/CheckpointedFold.h
@@ -9,7 +9,7 @@
 
 namespace lycheeseam {
 
-/// A fold with a section of its own in each checkpoint.
+/// A fold whose state is stored as a section of each checkpoint.
 template<typename Fold>
 concept checkpointed_fold = log_fold<Fold> && std::copyable<Fold> &&
   requires(Fold& aFold, std::string_view aText)
@@ -18,9 +18,9 @@
     Fold::kSection
     } -> std::convertible_to<std::string_view>;
   {
-    checkpoint_form<Fold>::Save(aFold)
+    checkpoint_serializer<Fold>::Save(aFold)
     } -> std::same_as<std::string>;
-  checkpoint_form<Fold>::Load(aFold, aText);
+  checkpoint_serializer<Fold>::Load(aFold, aText);
 };
 
 }
--- a/Libraries/LibRecords/ClaimNumber.h
+++ b/Libraries/LibRecords/ClaimNumber.h
@@ -4,8 +4,8 @@
 
 namespace lycheeseam {
 
-/// Tells the claims of one life of an instance apart, also several for the
-/// same key.
+/// Identifies a claim among all claims of one incarnation of an instance, also
+/// among several for the same key.
 using claim_number = ordinal<struct claim_number_tag>;
 
 }
--- a/Libraries/LibRecords/ConfigProposal.h
+++ b/Libraries/LibRecords/ConfigProposal.h
@@ -8,11 +8,12 @@
 
 namespace lycheeseam {
 
-/// An operator's change of one or more rows; all take force or none.
+/// A log record that changes one or more of the operators' rows. Either all
+/// changes take effect or none does.
 struct config_proposal
 {
   record_origin mOrigin;
-  /// The operator who asked for it.
+  /// The name of the operator who made the change.
   std::string mOperator;
   std::vector<any_row_change> mChanges;
 
--- a/Libraries/LibRecords/LogEntry.h
+++ b/Libraries/LibRecords/LogEntry.h
@@ -4,7 +4,7 @@
 
 namespace lycheeseam {
 
-/// A record at its place in the log.
+/// A record and its offset in the log.
 struct log_entry
 {
   log_offset mOffset;
--- a/Libraries/LibRecords/LogRecord.h
+++ b/Libraries/LibRecords/LogRecord.h
@@ -12,7 +12,7 @@
 
 namespace lycheeseam {
 
-/// Any record of the platform's log.
+/// A record of any type in the platform's log.
 using log_record = std::variant<config_proposal,
                                 slot_claim,
                                 request_claim_batch,
--- a/Libraries/LibRecords/NoOperation.h
+++ b/Libraries/LibRecords/NoOperation.h
@@ -4,7 +4,8 @@
 
 namespace lycheeseam {
 
-/// Moves an idle log on, so that pending appends reach their last offset.
+/// A record without effect. It advances the tail of an idle log, so that
+/// pending appends pass their last offset and get a definite result.
 struct no_operation
 {
   record_origin mOrigin;
--- a/Libraries/LibRecords/OriginOf.h
+++ b/Libraries/LibRecords/OriginOf.h
@@ -6,7 +6,7 @@
 
 namespace lycheeseam {
 
-/// Who appended a record, whatever its kind.
+/// Returns the origin of a record of any type.
 inline record_origin const&
 OriginOf(log_record const& aRecord)
 {
@@ -16,7 +16,7 @@
   return std::visit(origin, aRecord);
 }
 
-/// Who appended a record, to be filled in by its author.
+/// Returns the origin of a record of any type, for its author to fill in.
 inline record_origin&
 OriginOf(log_record& aRecord)
 {
--- a/Libraries/LibRecords/ProposalId.h
+++ b/Libraries/LibRecords/ProposalId.h
@@ -4,7 +4,8 @@
 
 namespace lycheeseam {
 
-/// Names one append for good: its author reads it back after a lost answer.
+/// Identifies one append permanently. When the answer to the append is lost,
+/// its author looks for this id in the log.
 using proposal_id = identifier<struct proposal_tag>;
 
 }
--- a/Libraries/LibRecords/RecordOrigin.h
+++ b/Libraries/LibRecords/RecordOrigin.h
@@ -5,14 +5,14 @@
 
 namespace lycheeseam {
 
-/// Who appended a record, and until when it counts.
+/// Who appended a record, and the last offset at which it is valid.
 struct record_origin
 {
   proposal_id mProposal;
   instance_id mInstance;
   incarnation mIncarnation;
-  /// The fold refuses the record beyond this offset, so that an append whose
-  /// answer was lost has a definite end.
+  /// Folds ignore the record past this offset, so that an append whose answer
+  /// was lost either takes effect by then or never.
   log_offset mLastOffset;
 
   bool operator==(record_origin const&) const = default;
--- a/Libraries/LibRecords/ReplicatedState.h
+++ b/Libraries/LibRecords/ReplicatedState.h
@@ -8,7 +8,8 @@
 
 namespace lycheeseam {
 
-/// All of an instance's folds as one state with an offset.
+/// All folds of an instance as one state as of one log offset, which can be
+/// saved to and loaded from a checkpoint.
 template<typename State>
 concept replicated_state = requires(State& aState,
                                     State const& aConst,
--- a/Libraries/LibRecords/RequestClaim.h
+++ b/Libraries/LibRecords/RequestClaim.h
@@ -6,12 +6,13 @@
 
 namespace lycheeseam {
 
-/// Claims the right to run one request; the first in log order has it.
+/// Claims the right to run one request. Of several claims for the same key, the
+/// first in log order gets it.
 struct request_claim
 {
   request_key mKey;
-  /// The digest of method, path and body: a key used again for other work is
-  /// refused.
+  /// The digest of method, path and body. A request that reuses the key with
+  /// another fingerprint is refused.
   digest mFingerprint;
   /// Unique among the claims of the batch's instance and incarnation.
   claim_number mNumber;
--- a/Libraries/LibRecords/RequestClaimBatch.h
+++ b/Libraries/LibRecords/RequestClaimBatch.h
@@ -7,7 +7,7 @@
 
 namespace lycheeseam {
 
-/// The claims of one instance, several in one append.
+/// A log record with one or more claims of one instance, which share an append.
 struct request_claim_batch
 {
   record_origin mOrigin;
--- a/Libraries/LibRecords/RequestKey.h
+++ b/Libraries/LibRecords/RequestKey.h
@@ -4,7 +4,8 @@
 
 namespace lycheeseam {
 
-/// What makes two requests the same for at-most-once work.
+/// Identifies a request that runs at most once: a workspace and the idempotency
+/// key that its caller chose. Requests with equal keys are repeats.
 struct request_key
 {
   workspace_id mWorkspace;
--- a/Libraries/LibRecords/RequestOutcome.h
+++ b/Libraries/LibRecords/RequestOutcome.h
@@ -9,18 +9,20 @@
 
 namespace lycheeseam {
 
-/// How a claimed request ended. NotRun releases the claim, also when the
-/// claim itself lands later.
+/// The end of a claimed request. The verdict NotRun releases the claim, also
+/// when the claim itself enters the log later.
 struct request_outcome
 {
   request_key mKey;
-  /// The claim that ended; the batch names its instance and incarnation.
+  /// The number of the claim that ended. Its instance and incarnation are those
+  /// of the batch's origin.
   claim_number mNumber;
   verdict mVerdict = verdict::MayHaveRun;
   /// The backend server's HTTP status; 0 unless the verdict is Ran.
   std::uint16_t mStatus = 0;
   std::string mContentType;
-  /// The answer that a repeat gets; empty when it was too large to keep.
+  /// The body that a repeat of the request gets; empty when it was too large to
+  /// keep.
   std::string mBody;
 
   bool operator==(request_outcome const&) const = default;
--- a/Libraries/LibRecords/RowChange.h
+++ b/Libraries/LibRecords/RowChange.h
@@ -11,14 +11,15 @@
 
 namespace lycheeseam {
 
-/// Writes or deletes one row. Name is what the row is known by, Row its type.
+/// Writes or deletes one row. Name is the type of the row's key in its table,
+/// Row that of the row.
 template<typename Name, typename Row>
 struct row_change
 {
   Name mName;
-  /// The version that the author saw; 0 when there was no row.
+  /// The version that the author read; 0 when there was no row.
   row_version mBase;
-  /// The new row; nothing to delete it.
+  /// The new row; nullopt to delete the row.
   std::optional<Row> mRow;
 
   bool operator==(row_change const&) const = default;
--- a/Libraries/LibRecords/SlotClaim.h
+++ b/Libraries/LibRecords/SlotClaim.h
@@ -5,8 +5,8 @@
 
 namespace lycheeseam {
 
-/// Takes a budget slot. It counts when the slot's last claim is still the
-/// one that the claimer saw.
+/// A log record that takes a budget slot. It takes effect when the slot's last
+/// claim is still the one that the claimer read.
 struct slot_claim
 {
   record_origin mOrigin;
--- a/Libraries/LibRecords/SlotId.h
+++ b/Libraries/LibRecords/SlotId.h
@@ -4,7 +4,8 @@
 
 namespace lycheeseam {
 
-/// A home of workspaces' budgets; an instance holds one by a record.
+/// Identifies a budget slot, which contains the tokens of some workspaces. An
+/// instance becomes the slot's holder by a slot_claim record.
 using slot_id = ordinal<struct slot_tag>;
 
 }
--- a/Libraries/LibRouter/FleetState.cpp
+++ b/Libraries/LibRouter/FleetState.cpp
@@ -49,7 +49,7 @@
 {
   std::vector<checkpoint_section> const sections{
     { .mName = std::string{ config_fold::kSection },
-      .mText = checkpoint_form<config_fold>::Save(mConfig) },
+      .mText = checkpoint_serializer<config_fold>::Save(mConfig) },
     { .mName = std::string{ kSlotSection },
       .mText = EncodeSlotHolders(mBudget.Slots().Holders()) },
     { .mName = std::string{ kClaimSection },
@@ -65,7 +65,7 @@
 {
   std::vector<checkpoint_section> const sections = DecodeSections(aText);
   config_fold config = mConfig;
-  checkpoint_form<config_fold>::Load(
+  checkpoint_serializer<config_fold>::Load(
     config, FindSection(sections, config_fold::kSection));
   std::map<slot_id, slot_holder> holders =
     DecodeSlotHolders(FindSection(sections, kSlotSection));
