--- a/Libraries/LibConfig/BackendServer.h
+++ b/Libraries/LibConfig/BackendServer.h
@@ -6,7 +6,7 @@
 
 namespace lycheeseam {
 
-/// One backend server as operators describe it in a pool's row.
+/// A backend server as an operator configures it in a pool's row.
 struct backend_server
 {
   backend_server_id mId;
--- a/Libraries/LibConfig/ConfigFile.h
+++ b/Libraries/LibConfig/ConfigFile.h
@@ -10,8 +10,8 @@
 
 namespace lycheeseam {
 
-/// Whole tables as an operator wants them. A table that is given replaces
-/// what stands; one that is left out stays as it is.
+/// The complete tables of a configuration file. A table in the file replaces
+/// the table in force; one that the file leaves out stays as it is.
 struct config_file
 {
   std::optional<std::vector<route_row>> mRoutes;
--- a/Libraries/LibConfig/ConfigTable.h
+++ b/Libraries/LibConfig/ConfigTable.h
@@ -5,11 +5,12 @@
 
 #include <string>
 
-/// \file What code that serves every table alike needs to know of each.
+/// \file The traits of each table, for code that is generic over tables.
 
 namespace lycheeseam {
 
-/// The table that holds a kind of row; specialised for each.
+/// The table of a type of row: its kind, the type of its keys and its member of
+/// config_tables. Specialised for each type of row.
 template<typename Row>
 struct config_table;
 
@@ -57,7 +58,7 @@
   static std::string Text(name const& aName) { return aName.Text(); }
 };
 
-/// The version of a row, 0 when there is none.
+/// Returns the version of a row, 0 when there is no such row.
 template<typename Row>
 row_version
 VersionOf(config_tables const& aTables,
--- a/Libraries/LibConfig/ConfigTables.cpp
+++ b/Libraries/LibConfig/ConfigTables.cpp
@@ -4,7 +4,6 @@
 
 namespace {
 
-// Rows are found by name in every table alike.
 template<typename Name, typename Row>
 Row const*
 FindRow(std::map<Name, versioned<Row>> const& aRows, Name const& aName)
@@ -15,7 +14,8 @@
   return &found->second.mRow;
 }
 
-// A prefix ends at a path segment, so that "/stock" never takes "/stockade".
+// A prefix matches complete path segments only, so that "/stock" doesn't match
+// "/stockade".
 bool
 HasPrefix(std::string_view aPath, std::string_view aPrefix)
 {
--- a/Libraries/LibConfig/ConfigTables.h
+++ b/Libraries/LibConfig/ConfigTables.h
@@ -13,29 +13,31 @@
 
 namespace lycheeseam {
 
-/// All operators' rows as of one log offset. Traffic threads read it as an
-/// immutable snapshot; only the fold over the log makes new ones.
+/// The operators' four tables as of one log offset. Traffic threads read an
+/// immutable snapshot; only the fold over the log, on the control thread, makes
+/// new ones.
 struct config_tables
 {
-  /// Every record up to this offset is in; later ones are not.
+  /// The offset of the last record that is applied.
   log_offset mOffset;
   std::map<route_name, versioned<route_row>> mRoutes;
   std::map<pool_name, versioned<pool_row>> mPools;
   std::map<digest, versioned<key_row>> mKeys;
   std::map<workspace_id, versioned<workspace_row>> mWorkspaces;
 
-  /// The route with the longest path prefix that matches; for routes with a
-  /// model, the model must match too. Null when there is none.
+  /// Returns the route with the longest path prefix that matches aPath; a route
+  /// with a model must match aModel too. Null when there is none.
   [[nodiscard]] route_row const* FindRoute(std::string_view aPath,
                                            model_name const& aModel) const;
 
-  /// The pool of that name, or null.
+  /// Returns the pool of that name, or null.
   [[nodiscard]] pool_row const* FindPool(pool_name const& aName) const;
 
-  /// The key's row, or null when it was never given or is withdrawn.
+  /// Returns the row of the key with that digest, or null when no such key was
+  /// issued or it was withdrawn.
   [[nodiscard]] key_row const* FindKey(digest const& aDigest) const;
 
-  /// The workspace's row, or null.
+  /// Returns the workspace's row, or null.
   [[nodiscard]] workspace_row const* FindWorkspace(
     workspace_id const& aName) const;
 
--- a/Libraries/LibConfig/FencingSupport.h
+++ b/Libraries/LibConfig/FencingSupport.h
@@ -2,12 +2,13 @@
 
 namespace lycheeseam {
 
-/// Whether a backend server checks who gives it an order.
+/// Whether a backend server checks the fencing number of an order.
 enum class fencing_support
 {
-  /// Refuses an order whose fencing number is older than one it has seen.
+  /// The server refuses an order whose fencing number is lower than the highest
+  /// one that it has received.
   Checked,
-  /// Carries out any order.
+  /// The server carries out every order.
   Ignored,
 };
 
--- a/Libraries/LibConfig/Idempotency.h
+++ b/Libraries/LibConfig/Idempotency.h
@@ -2,12 +2,13 @@
 
 namespace lycheeseam {
 
-/// Whether running a request twice does harm.
+/// Whether a request may run more than once.
 enum class idempotency
 {
-  /// Repeats are harmless: a failed attempt may be retried elsewhere.
+  /// Running it again does no harm, so a failed attempt may be retried on
+  /// another server.
   Idempotent,
-  /// Runs at most once: retried only after a verdict of not run.
+  /// It runs at most once: it is retried only when the verdict is NotRun.
   NonIdempotent,
 };
 
--- a/Libraries/LibConfig/KeyRow.h
+++ b/Libraries/LibConfig/KeyRow.h
@@ -7,12 +7,13 @@
 
 namespace lycheeseam {
 
-/// A caller's key, known by its digest alone. Deleting the row withdraws it.
+/// A caller's key. Only its digest is stored; deleting the row withdraws the
+/// key.
 struct key_row
 {
   digest mDigest;
   workspace_id mWorkspace;
-  /// What operators call it; never the key itself.
+  /// The operators' name for the key; never the key itself.
   std::string mLabel;
 
   bool operator==(key_row const&) const = default;
--- a/Libraries/LibConfig/PoolKind.h
+++ b/Libraries/LibConfig/PoolKind.h
@@ -2,12 +2,12 @@
 
 namespace lycheeseam {
 
-/// What stands behind a pool.
+/// The kind of backend servers in a pool.
 enum class pool_kind
 {
-  /// Model engines: OpenAI's calls, prefix caches, streams.
+  /// Engines that run a model: the OpenAI API, prefix caches and streams.
   Model,
-  /// Plain HTTP services.
+  /// HTTP services without a model.
   Service,
 };
 
--- a/Libraries/LibConfig/PoolRow.h
+++ b/Libraries/LibConfig/PoolRow.h
@@ -9,18 +9,21 @@
 
 namespace lycheeseam {
 
-/// A row of the table of pools: the backend servers behind a name.
+/// A row of the table of pools: backend servers that routes use under one
+/// name.
 struct pool_row
 {
   pool_name mName;
   pool_kind mKind = pool_kind::Service;
   std::vector<backend_server> mServers;
-  /// For model pools: the weights that their engines should hold.
+  /// The model and the version of the weights that the engines should load;
+  /// empty in service pools.
   model_name mModel;
   weights_version mWeights;
-  /// The most requests outstanding on one backend server, fleet-wide intent.
+  /// The most requests outstanding on one backend server, intended as a total
+  /// over all instances.
   std::uint32_t mMaxOutstanding = 32;
-  /// The most backend servers that load weights at once.
+  /// The most backend servers of the pool that load weights at the same time.
   std::uint32_t mMaxWeightLoads = 2;
 
   bool operator==(pool_row const&) const = default;
--- a/Libraries/LibConfig/RouteAccess.h
+++ b/Libraries/LibConfig/RouteAccess.h
@@ -5,9 +5,9 @@
 /// Who may use a route.
 enum class route_access
 {
-  /// A request runs only for the workspace whose key came with it.
+  /// A request needs a key and runs for the key's workspace.
   Keyed,
-  /// Open to all; no key is looked at and no workspace is charged.
+  /// Anyone may use the route: keys are ignored and no workspace is charged.
   Open,
 };
 
--- a/Libraries/LibConfig/RouteRow.h
+++ b/Libraries/LibConfig/RouteRow.h
@@ -11,13 +11,16 @@
 
 namespace lycheeseam {
 
-/// A row of the table of routes: says where traffic goes.
+/// A row of the table of routes: which requests go to which pool, and how they
+/// are handled.
 struct route_row
 {
   route_name mName;
-  /// Requests whose path starts with this take the route; the longest wins.
+  /// The route matches requests whose path starts with this, in complete
+  /// segments; the longest matching prefix wins.
   std::string mPathPrefix;
-  /// For OpenAI paths: the model that callers name. Empty on plain routes.
+  /// The model that callers name in requests of the OpenAI API. Empty on routes
+  /// that match any model.
   model_name mModel;
   pool_name mPool;
   route_access mAccess = route_access::Keyed;
@@ -26,9 +29,9 @@
   stream_resume mResume = stream_resume::Never;
   /// How long a request may wait for admission.
   std::chrono::milliseconds mQueueDeadline{ 2000 };
-  /// How long an attempt may wait for its first byte.
+  /// How long an attempt may wait for the first byte of the server's answer.
   std::chrono::milliseconds mFirstByteTimeout{ 30000 };
-  /// The largest answer charged in advance, in tokens.
+  /// The most tokens that are charged in advance for the answer.
   token_count mMaxAnswerTokens = 1024;
 
   bool operator==(route_row const&) const = default;
--- a/Libraries/LibConfig/RowReference.h
+++ b/Libraries/LibConfig/RowReference.h
@@ -6,13 +6,15 @@
 
 namespace lycheeseam {
 
-/// Names a row of any table; a key's name is its digest in hexadecimal.
+/// Refers to a row of any table by name; a key's name is its digest in
+/// hexadecimal.
 struct row_reference
 {
   table_kind mTable = table_kind::Routes;
   std::string mName;
 
-  // The linter takes the zero that "<" is rewritten with for a pointer.
+  // The linter takes the 0 in the compiler's rewriting of "<" for a null
+  // pointer.
   // NOLINTNEXTLINE(modernize-use-nullptr)
   auto operator<=>(row_reference const&) const = default;
 };
--- a/Libraries/LibConfig/StreamResume.h
+++ b/Libraries/LibConfig/StreamResume.h
@@ -2,12 +2,12 @@
 
 namespace lycheeseam {
 
-/// What happens to a stream whose backend server is lost midway.
+/// What happens to a stream whose backend server fails before its end.
 enum class stream_resume
 {
   /// The stream ends with an error event.
   Never,
-  /// Another backend server goes on from the tokens already sent.
+  /// Another backend server continues after the tokens already sent.
   OtherServer,
 };
 
--- a/Libraries/LibConfig/TableKind.h
+++ b/Libraries/LibConfig/TableKind.h
@@ -2,7 +2,7 @@
 
 namespace lycheeseam {
 
-/// One of the operators' tables.
+/// Names one of the tables that operators configure.
 enum class table_kind
 {
   Routes,
