--- a/Libraries/LibCodec/Base64Serializer.cpp
+++ b/Libraries/LibCodec/Base64Serializer.cpp
@@ -34,13 +34,13 @@
 }
 
 std::string
-base64_form::Read(nlohmann::json const& aJson, json_path const& aPath)
+base64_serializer::Read(nlohmann::json const& aJson, json_path const& aPath)
 {
-  std::string const digits = json_form<std::string>::Read(aJson, aPath);
+  std::string const digits = json_serializer<std::string>::Read(aJson, aPath);
   std::string bytes(digits.size() / kDigitsPerGroup * kBytesPerGroup, '\0');
   int const length = static_cast<int>(digits.size());
   int const decoded = EVP_DecodeBlock(Bytes(bytes), Bytes(digits), length);
-  // The library skips white space at the ends, so the length tells too.
+  // The library skips white space at the ends, so the length is checked too.
   if (decoded < 0 || static_cast<std::size_t>(decoded) != bytes.size())
     throw JsonFault(aJson, aPath, "base64 is expected");
   bytes.resize(bytes.size() - PaddingOf(digits));
@@ -48,11 +48,11 @@
 }
 
 nlohmann::json
-base64_form::Write(std::string const& aBytes)
+base64_serializer::Write(std::string const& aBytes)
 {
   std::size_t const groups =
     (aBytes.size() + kBytesPerGroup - 1) / kBytesPerGroup;
-  // The library ends its output with a zero.
+  // The library terminates its output with a zero byte.
   std::string digits(groups * kDigitsPerGroup + 1, '\0');
   int const length = static_cast<int>(aBytes.size());
   EVP_EncodeBlock(Bytes(digits), Bytes(aBytes), length);
--- a/Libraries/LibCodec/CheckpointCodec.h
+++ b/Libraries/LibCodec/CheckpointCodec.h
@@ -9,11 +9,12 @@
 
 namespace lycheeseam {
 
-/// The text of a checkpoint's state.
+/// Writes the sections of a checkpoint as JSON text; throws codec_error when a
+/// text in them is not UTF-8.
 std::string
 EncodeSections(std::span<checkpoint_section const> aSections);
 
-/// Reads a checkpoint's state; throws codec_error.
+/// Reads the sections of a checkpoint; throws codec_error.
 std::vector<checkpoint_section>
 DecodeSections(std::string_view aText);
 
--- a/Libraries/LibCodec/ClaimCheckpoint.h
+++ b/Libraries/LibCodec/ClaimCheckpoint.h
@@ -7,11 +7,11 @@
 
 namespace lycheeseam {
 
-/// The section of claims in a checkpoint.
+/// Writes the checkpoint section of request claims as JSON text.
 std::string
 EncodeClaimState(claim_state const& aState);
 
-/// Reads the section of claims; throws codec_error.
+/// Reads the checkpoint section of request claims; throws codec_error.
 claim_state
 DecodeClaimState(std::string_view aText);
 
--- a/Libraries/LibCodec/CodecError.h
+++ b/Libraries/LibCodec/CodecError.h
@@ -7,8 +7,8 @@
 
 namespace lycheeseam {
 
-/// A JSON text breaks its form. The message names the place, the value found
-/// there and what is allowed.
+/// Thrown for JSON text that can't be read as the expected type. The message
+/// names the JSON path, the value found there and what is allowed.
 class codec_error : public invalid_input
 {
 public:
@@ -21,7 +21,7 @@
   {
   }
 
-  /// The JSON path of the fault, such as "$.pools[0].name".
+  /// The JSON path of the refused value, such as "$.pools[0].name".
   [[nodiscard]] std::string const& Path() const noexcept { return mPath; }
 
 private:
--- a/Libraries/LibCodec/ConfigCheckpoint.cpp
+++ b/Libraries/LibCodec/ConfigCheckpoint.cpp
@@ -8,23 +8,23 @@
 
 namespace lycheeseam {
 
-/// A queue stands as a list.
+/// A deque is written as a JSON array.
 template<typename Value>
-struct json_form<std::deque<Value>>
+struct json_serializer<std::deque<Value>>
 {
   using list = std::vector<Value>;
 
   static std::deque<Value> Read(nlohmann::json const& aJson,
                                 json_path const& aPath)
   {
-    list values = json_form<list>::Read(aJson, aPath);
+    list values = json_serializer<list>::Read(aJson, aPath);
     return { std::make_move_iterator(values.begin()),
              std::make_move_iterator(values.end()) };
   }
 
   static nlohmann::json Write(std::deque<Value> const& aValues)
   {
-    return json_form<list>::Write({ aValues.begin(), aValues.end() });
+    return json_serializer<list>::Write({ aValues.begin(), aValues.end() });
   }
 };
 
--- a/Libraries/LibCodec/ConfigCheckpoint.h
+++ b/Libraries/LibCodec/ConfigCheckpoint.h
@@ -8,7 +8,7 @@
 
 namespace lycheeseam {
 
-/// The configuration's section of a checkpoint.
+/// Converts the configuration to and from its checkpoint section.
 template<>
 struct checkpoint_serializer<config_fold>
 {
--- a/Libraries/LibCodec/ConfigFileCodec.h
+++ b/Libraries/LibCodec/ConfigFileCodec.h
@@ -7,11 +7,11 @@
 
 namespace lycheeseam {
 
-/// The text of a file of tables.
+/// Writes a configuration file as JSON text.
 std::string
 EncodeConfigFile(config_file const& aFile);
 
-/// Reads a file of tables; throws codec_error.
+/// Reads a configuration file's text; throws codec_error.
 config_file
 DecodeConfigFile(std::string_view aText);
 
--- a/Libraries/LibCodec/ContainerSerializers.h
+++ b/Libraries/LibCodec/ContainerSerializers.h
@@ -6,12 +6,12 @@
 #include <optional>
 #include <vector>
 
-/// \file The forms of lists and of values that may be missing.
+/// \file JSON serializers of lists and optional values.
 
 namespace lycheeseam {
 
 template<typename Value>
-struct json_form<std::vector<Value>>
+struct json_serializer<std::vector<Value>>
 {
   static std::vector<Value> Read(nlohmann::json const& aJson,
                                  json_path const& aPath)
@@ -22,7 +22,7 @@
     values.reserve(aJson.size());
     for (nlohmann::json const& element : aJson) {
       json_path const path = aPath.Element(values.size());
-      values.push_back(json_form<Value>::Read(element, path));
+      values.push_back(json_serializer<Value>::Read(element, path));
     }
     return values;
   }
@@ -31,27 +31,27 @@
   {
     nlohmann::json array = nlohmann::json::array();
     for (Value const& value : aValues)
-      array.push_back(json_form<Value>::Write(value));
+      array.push_back(json_serializer<Value>::Write(value));
     return array;
   }
 };
 
 template<typename Value>
-struct json_form<std::optional<Value>>
+struct json_serializer<std::optional<Value>>
 {
   static std::optional<Value> Read(nlohmann::json const& aJson,
                                    json_path const& aPath)
   {
     if (aJson.is_null())
       return std::nullopt;
-    return json_form<Value>::Read(aJson, aPath);
+    return json_serializer<Value>::Read(aJson, aPath);
   }
 
   static nlohmann::json Write(std::optional<Value> const& aValue)
   {
     if (!aValue)
       return nullptr;
-    return json_form<Value>::Write(*aValue);
+    return json_serializer<Value>::Write(*aValue);
   }
 };
 
--- a/Libraries/LibCodec/EnumNames.h
+++ b/Libraries/LibCodec/EnumNames.h
@@ -11,7 +11,7 @@
 
 #include <array>
 
-/// \file The names of enumerators in rows and records.
+/// \file The JSON names of the enumerators in rows and records.
 
 namespace lycheeseam {
 
--- a/Libraries/LibCodec/EnumSerializer.h
+++ b/Libraries/LibCodec/EnumSerializer.h
@@ -19,11 +19,11 @@
   std::string_view mName;
 };
 
-/// Lists an enumeration's names as kNames; specialised for each.
+/// Lists an enumeration's names as kNames; specialised for each enumeration.
 template<typename Enum>
 struct json_enum;
 
-/// An enumeration whose names are listed.
+/// An enumeration for which json_enum is specialised.
 template<typename Enum>
 concept named_enum = std::is_enum_v<Enum> && requires
 {
@@ -31,7 +31,7 @@
 };
 
 template<named_enum Enum>
-struct json_form<Enum>
+struct json_serializer<Enum>
 {
   static Enum Read(nlohmann::json const& aJson, json_path const& aPath)
   {
--- a/Libraries/LibCodec/FoldSet.h
+++ b/Libraries/LibCodec/FoldSet.h
@@ -15,12 +15,13 @@
 
 namespace lycheeseam {
 
-/// Several folds that read one log and share its checkpoints.
+/// The state of several folds over the same log, which are stored together in
+/// its checkpoints.
 template<checkpointed_fold... Folds>
 class fold_set
 {
 public:
-  /// Applies an entry to every fold; offsets must rise.
+  /// Applies an entry to every fold; its offset must exceed the last one.
   void Apply(log_entry const& aEntry)
   {
     assert(aEntry.mOffset > mOffset);
@@ -28,7 +29,7 @@
     mOffset = aEntry.mOffset;
   }
 
-  /// The last entry applied; 0 before the first.
+  /// The offset of the last entry applied; 0 before the first.
   [[nodiscard]] log_offset Offset() const noexcept { return mOffset; }
 
   /// One of the folds.
@@ -45,21 +46,21 @@
     return std::get<Fold>(mFolds);
   }
 
-  /// The state of all folds as a checkpoint's text.
+  /// Returns the state of all folds as a checkpoint's text.
   [[nodiscard]] std::string Save() const
   {
     std::vector<checkpoint_section> const sections{ Section<Folds>()... };
     return EncodeSections(sections);
   }
 
-  /// Goes on from a checkpoint's text, which covers all up to an offset.
-  /// Throws invalid_input and stays as it was when a fold's section is
-  /// missing or malformed; sections of folds it doesn't know are ignored.
+  /// Replaces the state by that of a checkpoint's text, which covers all
+  /// records up to aCovers. Throws invalid_input and changes nothing when a
+  /// fold's section is missing or malformed; ignores sections of other folds.
   void Load(log_offset aCovers, std::string_view aText)
   {
     std::vector<checkpoint_section> const sections = DecodeSections(aText);
     std::tuple<Folds...> loaded = mFolds;
-    (LoadOne(std::get<Folds>(loaded), sections), ...);
+    (LoadFold(std::get<Folds>(loaded), sections), ...);
     mFolds = std::move(loaded);
     mOffset = aCovers;
   }
@@ -73,7 +74,7 @@
   }
 
   template<typename Fold>
-  static void LoadOne(Fold& aFold, std::span<checkpoint_section const> aAll)
+  static void LoadFold(Fold& aFold, std::span<checkpoint_section const> aAll)
   {
     auto const section =
       std::ranges::find(aAll, Fold::kSection, &checkpoint_section::mName);
--- a/Libraries/LibCodec/JsonFault.cpp
+++ b/Libraries/LibCodec/JsonFault.cpp
@@ -4,8 +4,8 @@
 
 namespace {
 
-/// The longest piece of a refused value that a message shows, in bytes.
-constexpr std::size_t kShownBytes = 80;
+/// The most bytes of a refused value that a message shows.
+constexpr std::size_t kMaxShownBytes = 80;
 
 }
 
@@ -16,8 +16,8 @@
 {
   using handler = nlohmann::json::error_handler_t;
   std::string shown = aValue.dump(-1, ' ', true, handler::replace);
-  if (shown.size() > kShownBytes)
-    shown = shown.substr(0, kShownBytes) + "...";
+  if (shown.size() > kMaxShownBytes)
+    shown = shown.substr(0, kMaxShownBytes) + "...";
   return codec_error{ aPath.Text(), shown, aAllowed };
 }
 
--- a/Libraries/LibCodec/JsonFault.h
+++ b/Libraries/LibCodec/JsonFault.h
@@ -9,7 +9,8 @@
 
 namespace lycheeseam {
 
-/// Makes the error for a value that its form refuses. Long values are cut.
+/// Makes the error for a value that can't be read as the expected type. The
+/// message shows long values truncated.
 codec_error
 JsonFault(nlohmann::json const& aValue,
           json_path const& aPath,
--- a/Libraries/LibCodec/JsonField.h
+++ b/Libraries/LibCodec/JsonField.h
@@ -7,19 +7,21 @@
 
 namespace lycheeseam {
 
-/// Joins a struct's member to a field of its JSON object. Form is what the
-/// field's value is read and written by.
-template<typename Struct, typename Member, typename Form = json_form<Member>>
+/// Maps a struct's member to a field of its JSON object. Serializer reads and
+/// writes the field's value.
+template<typename Struct,
+         typename Member,
+         typename Serializer = json_serializer<Member>>
 struct json_field
 {
-  using form = Form;
+  using serializer = Serializer;
 
   std::string_view mName;
   Member Struct::*mMember;
   field_presence mPresence = field_presence::Required;
 };
 
-/// A field that must be there.
+/// Makes a field that must be present.
 template<typename Struct, typename Member>
 constexpr json_field<Struct, Member>
 RequiredField(std::string_view aName, Member Struct::*aMember)
@@ -27,7 +29,7 @@
   return { .mName = aName, .mMember = aMember };
 }
 
-/// A field that may be left out.
+/// Makes a field that may be missing; the member then keeps its default.
 template<typename Struct, typename Member>
 constexpr json_field<Struct, Member>
 OptionalField(std::string_view aName, Member Struct::*aMember)
--- a/Libraries/LibCodec/JsonPath.h
+++ b/Libraries/LibCodec/JsonPath.h
@@ -6,27 +6,27 @@
 
 namespace lycheeseam {
 
-/// A place in a JSON text while it is read. A path refers to its parent, so
-/// it must not outlive it; the text is only made when there is a fault.
+/// The path to a value in a JSON text, for error messages. A path refers to its
+/// parent and must not outlive it; its text is made only for an error.
 class json_path
 {
 public:
-  /// The whole text.
+  /// The path of the root value.
   json_path() = default;
 
-  /// A field of the object at this path.
+  /// Returns the path of a field of the object at this path.
   [[nodiscard]] json_path Field(std::string_view aName) const noexcept
   {
     return json_path{ this, aName, 0 };
   }
 
-  /// An element of the array at this path.
+  /// Returns the path of an element of the array at this path.
   [[nodiscard]] json_path Element(std::size_t aIndex) const noexcept
   {
     return json_path{ this, {}, aIndex };
   }
 
-  /// The path as text, such as "$.pools[0].name".
+  /// Returns the path as text, such as "$.pools[0].name".
   [[nodiscard]] std::string Text() const
   {
     if (!mParent)
--- a/Libraries/LibCodec/JsonSerializer.h
+++ b/Libraries/LibCodec/JsonSerializer.h
@@ -8,21 +8,23 @@
 
 namespace lycheeseam {
 
-/// How a type stands in JSON; specialised for each type that has a form.
+/// Converts values of a type to and from JSON with the static functions Read
+/// and Write; specialised for each type that is stored or sent as JSON.
 template<typename Value>
-struct json_form;
+struct json_serializer;
 
-/// A type with a strict JSON form: Read throws codec_error on any fault.
+/// A type for which json_serializer is specialised. Reading is strict: Read
+/// throws codec_error for any value that doesn't match the type exactly.
 template<typename Value>
-concept has_json_form = requires(Value const& aValue,
-                                 nlohmann::json const& aJson,
-                                 json_path aPath)
+concept json_serializable = requires(Value const& aValue,
+                                     nlohmann::json const& aJson,
+                                     json_path aPath)
 {
   {
-    json_form<Value>::Read(aJson, aPath)
+    json_serializer<Value>::Read(aJson, aPath)
     } -> std::same_as<Value>;
   {
-    json_form<Value>::Write(aValue)
+    json_serializer<Value>::Write(aValue)
     } -> std::same_as<nlohmann::json>;
 };
 
--- a/Libraries/LibCodec/JsonText.cpp
+++ b/Libraries/LibCodec/JsonText.cpp
@@ -9,9 +9,9 @@
 
 using json = nlohmann::json;
 
-// The library keeps the last of two fields with one name; an operator who
-// wrote a row twice must hear of it instead.
-class duplicate_check
+// The library silently keeps the last of two fields of the same name. An
+// operator who wrote a table twice needs an error instead.
+class duplicate_field_check
 {
 public:
   bool operator()(int, json::parse_event_t aEvent, json& aParsed)
@@ -40,7 +40,7 @@
 json
 ParseJson(std::string_view aText)
 {
-  duplicate_check check;
+  duplicate_field_check check;
   json::parser_callback_t const callback =
     [&check](int aDepth, json::parse_event_t aEvent, json& aParsed) {
       return check(aDepth, aEvent, aParsed);
--- a/Libraries/LibCodec/ObjectSerializer.h
+++ b/Libraries/LibCodec/ObjectSerializer.h
@@ -13,30 +13,31 @@
 
 namespace lycheeseam {
 
-/// Lists a struct's fields as the tuple kFields; specialised for each. One
-/// list serves reading and writing.
+/// Lists a struct's JSON fields as the tuple kFields, for reading and writing;
+/// specialised for each struct.
 template<typename Struct>
 struct json_fields;
 
-/// A struct whose fields are listed.
+/// A struct for which json_fields is specialised.
 template<typename Struct>
 concept has_json_fields = requires
 {
   json_fields<Struct>::kFields;
 };
 
-/// Refuses a value that is no object, and fields that its form doesn't know.
+/// Throws codec_error when a value is not an object or has a field that is not
+/// in aFieldNames.
 void
 CheckObject(nlohmann::json const& aJson,
             json_path const& aPath,
             std::span<std::string_view const> aFieldNames);
 
-/// Throws the fault for a required field that isn't there.
+/// Throws codec_error for a required field that is missing.
 [[noreturn]] void
 ThrowMissingField(json_path const& aPath);
 
 template<has_json_fields Struct>
-struct json_form<Struct>
+struct json_serializer<Struct>
 {
   static Struct Read(nlohmann::json const& aJson, json_path const& aPath)
   {
@@ -79,7 +80,7 @@
     json_path const path = aPath.Field(aField.mName);
     auto const found = aJson.find(aField.mName);
     if (found != aJson.end())
-      aResult.*aField.mMember = Field::form::Read(*found, path);
+      aResult.*aField.mMember = Field::serializer::Read(*found, path);
     else if (aField.mPresence == field_presence::Required)
       ThrowMissingField(path);
   }
@@ -89,7 +90,7 @@
                          Struct const& aValue,
                          nlohmann::json& aObject)
   {
-    nlohmann::json value = Field::form::Write(aValue.*aField.mMember);
+    nlohmann::json value = Field::serializer::Write(aValue.*aField.mMember);
     if (!value.is_null())
       aObject[std::string{ aField.mName }] = std::move(value);
   }
--- a/Libraries/LibCodec/OutcomeSerializers.h
+++ b/Libraries/LibCodec/OutcomeSerializers.h
@@ -8,7 +8,7 @@
 
 #include <tuple>
 
-/// \file The forms of proposals' outcomes.
+/// \file JSON serializers of proposals' outcomes.
 
 namespace lycheeseam {
 
--- a/Libraries/LibCodec/RecordCodec.h
+++ b/Libraries/LibCodec/RecordCodec.h
@@ -7,7 +7,8 @@
 
 namespace lycheeseam {
 
-/// The text of a record as it stands in the platform's log.
+/// Writes a record as the JSON text that the platform's log stores; throws
+/// codec_error when a text in it is not UTF-8.
 std::string
 EncodeRecord(log_record const& aRecord);
 
--- a/Libraries/LibCodec/RecordSerializers.h
+++ b/Libraries/LibCodec/RecordSerializers.h
@@ -12,7 +12,7 @@
 
 #include <tuple>
 
-/// \file The forms of the log's records.
+/// \file JSON serializers of the log's records.
 
 namespace lycheeseam {
 
@@ -84,7 +84,7 @@
     RequiredField("verdict", &request_outcome::mVerdict),
     OptionalField("status", &request_outcome::mStatus),
     OptionalField("content_type", &request_outcome::mContentType),
-    json_field<request_outcome, std::string, base64_form>{
+    json_field<request_outcome, std::string, base64_serializer>{
       "body_base64",
       &request_outcome::mBody,
       field_presence::Optional },
--- a/Libraries/LibCodec/RowChangeSerializer.h
+++ b/Libraries/LibCodec/RowChangeSerializer.h
@@ -6,7 +6,7 @@
 
 #include <tuple>
 
-/// \file The forms of changes of rows.
+/// \file JSON serializers of changes of rows.
 
 namespace lycheeseam {
 
--- a/Libraries/LibCodec/RowSerializers.h
+++ b/Libraries/LibCodec/RowSerializers.h
@@ -11,7 +11,7 @@
 
 #include <tuple>
 
-/// \file The forms of operators' rows.
+/// \file JSON serializers of the operators' rows.
 
 namespace lycheeseam {
 
--- a/Libraries/LibCodec/ScalarSerializers.h
+++ b/Libraries/LibCodec/ScalarSerializers.h
@@ -12,12 +12,12 @@
 #include <limits>
 #include <string>
 
-/// \file The forms of texts, numbers and the core types.
+/// \file JSON serializers of strings, numbers and types of LibCore.
 
 namespace lycheeseam {
 
 template<>
-struct json_form<std::string>
+struct json_serializer<std::string>
 {
   static std::string Read(nlohmann::json const& aJson, json_path const& aPath)
   {
@@ -30,7 +30,7 @@
 };
 
 template<>
-struct json_form<bool>
+struct json_serializer<bool>
 {
   static bool Read(nlohmann::json const& aJson, json_path const& aPath)
   {
@@ -43,7 +43,7 @@
 };
 
 template<std::unsigned_integral Number>
-struct json_form<Number>
+struct json_serializer<Number>
 {
   static Number Read(nlohmann::json const& aJson, json_path const& aPath)
   {
@@ -60,7 +60,7 @@
 };
 
 template<>
-struct json_form<std::int64_t>
+struct json_serializer<std::int64_t>
 {
   static std::int64_t Read(nlohmann::json const& aJson, json_path const& aPath)
   {
@@ -76,12 +76,13 @@
 };
 
 template<>
-struct json_form<std::chrono::milliseconds>
+struct json_serializer<std::chrono::milliseconds>
 {
   static std::chrono::milliseconds Read(nlohmann::json const& aJson,
                                         json_path const& aPath)
   {
-    std::uint32_t const count = json_form<std::uint32_t>::Read(aJson, aPath);
+    std::uint32_t const count =
+      json_serializer<std::uint32_t>::Read(aJson, aPath);
     return std::chrono::milliseconds{ count };
   }
 
@@ -92,12 +93,12 @@
 };
 
 template<typename Tag>
-struct json_form<identifier<Tag>>
+struct json_serializer<identifier<Tag>>
 {
   static identifier<Tag> Read(nlohmann::json const& aJson,
                               json_path const& aPath)
   {
-    return identifier<Tag>{ json_form<std::string>::Read(aJson, aPath) };
+    return identifier<Tag>{ json_serializer<std::string>::Read(aJson, aPath) };
   }
 
   static nlohmann::json Write(identifier<Tag> const& aValue)
@@ -107,22 +108,22 @@
 };
 
 template<typename Tag>
-struct json_form<ordinal<Tag>>
+struct json_serializer<ordinal<Tag>>
 {
   static ordinal<Tag> Read(nlohmann::json const& aJson, json_path const& aPath)
   {
-    return ordinal<Tag>{ json_form<std::uint64_t>::Read(aJson, aPath) };
+    return ordinal<Tag>{ json_serializer<std::uint64_t>::Read(aJson, aPath) };
   }
 
   static nlohmann::json Write(ordinal<Tag> aValue) { return aValue.Value(); }
 };
 
 template<>
-struct json_form<digest>
+struct json_serializer<digest>
 {
   static digest Read(nlohmann::json const& aJson, json_path const& aPath)
   {
-    std::string const hex = json_form<std::string>::Read(aJson, aPath);
+    std::string const hex = json_serializer<std::string>::Read(aJson, aPath);
     try {
       return digest::FromHex(hex);
     } catch (invalid_input const& fault) {
@@ -134,11 +135,11 @@
 };
 
 template<>
-struct json_form<endpoint>
+struct json_serializer<endpoint>
 {
   static endpoint Read(nlohmann::json const& aJson, json_path const& aPath)
   {
-    std::string const text = json_form<std::string>::Read(aJson, aPath);
+    std::string const text = json_serializer<std::string>::Read(aJson, aPath);
     try {
       return endpoint::Parse(text);
     } catch (invalid_input const& fault) {
--- a/Libraries/LibCodec/SlotCheckpoint.cpp
+++ b/Libraries/LibCodec/SlotCheckpoint.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-struct kept_slot
+struct slot_entry
 {
   slot_id mSlot;
   slot_holder mHolder;
@@ -26,18 +26,18 @@
 };
 
 template<>
-struct json_fields<kept_slot>
+struct json_fields<slot_entry>
 {
   static constexpr std::tuple kFields{
-    RequiredField("slot", &kept_slot::mSlot),
-    RequiredField("holder", &kept_slot::mHolder),
+    RequiredField("slot", &slot_entry::mSlot),
+    RequiredField("holder", &slot_entry::mHolder),
   };
 };
 
 std::string
 EncodeSlotHolders(std::map<slot_id, slot_holder> const& aHolders)
 {
-  std::vector<kept_slot> kept;
+  std::vector<slot_entry> kept;
   kept.reserve(aHolders.size());
   for (auto const& [slot, holder] : aHolders)
     kept.push_back({ .mSlot = slot, .mHolder = holder });
@@ -48,7 +48,7 @@
 DecodeSlotHolders(std::string_view aText)
 {
   std::map<slot_id, slot_holder> holders;
-  for (kept_slot& kept : FromJsonText<std::vector<kept_slot>>(aText))
+  for (slot_entry& kept : FromJsonText<std::vector<slot_entry>>(aText))
     holders.emplace(kept.mSlot, std::move(kept.mHolder));
   return holders;
 }
--- a/Libraries/LibCodec/SlotCheckpoint.h
+++ b/Libraries/LibCodec/SlotCheckpoint.h
@@ -9,11 +9,11 @@
 
 namespace lycheeseam {
 
-/// The section of budget slots in a checkpoint.
+/// Writes the checkpoint section of budget slots as JSON text.
 std::string
 EncodeSlotHolders(std::map<slot_id, slot_holder> const& aHolders);
 
-/// Reads the section of budget slots; throws codec_error.
+/// Reads the checkpoint section of budget slots; throws codec_error.
 std::map<slot_id, slot_holder>
 DecodeSlotHolders(std::string_view aText);
 
--- a/Libraries/LibCodec/TableSerializers.h
+++ b/Libraries/LibCodec/TableSerializers.h
@@ -9,7 +9,7 @@
 #include <tuple>
 #include <vector>
 
-/// \file The forms of rows with versions and of whole tables.
+/// \file JSON serializers of rows with versions and of complete tables.
 
 namespace lycheeseam {
 
@@ -23,9 +23,10 @@
   };
 };
 
-/// A table stands as the list of its rows, which carry their own names.
+/// A table is written as the array of its rows, since each row has its own
+/// name.
 template<typename Name, typename Row>
-struct json_form<std::map<Name, versioned<Row>>>
+struct json_serializer<std::map<Name, versioned<Row>>>
 {
   using rows = std::map<Name, versioned<Row>>;
   using list = std::vector<versioned<Row>>;
@@ -33,7 +34,7 @@
   static rows Read(nlohmann::json const& aJson, json_path const& aPath)
   {
     rows result;
-    for (versioned<Row>& entry : json_form<list>::Read(aJson, aPath)) {
+    for (versioned<Row>& entry : json_serializer<list>::Read(aJson, aPath)) {
       Name const name = config_table<Row>::NameOf(entry.mRow);
       result.emplace(name, std::move(entry));
     }
@@ -44,7 +45,7 @@
   {
     nlohmann::json array = nlohmann::json::array();
     for (auto const& [name, entry] : aRows)
-      array.push_back(json_form<versioned<Row>>::Write(entry));
+      array.push_back(json_serializer<versioned<Row>>::Write(entry));
     return array;
   }
 };
--- a/Libraries/LibCodec/VariantSerializer.h
+++ b/Libraries/LibCodec/VariantSerializer.h
@@ -10,15 +10,15 @@
 
 namespace lycheeseam {
 
-/// The name of a variant's alternative in JSON as kName; specialised for
-/// each alternative.
+/// The JSON name of a variant's alternative as kName; specialised for each
+/// alternative.
 template<typename Alternative>
 struct json_alternative;
 
-/// A variant stands as an object with one field, which names the alternative
-/// that it holds.
+/// A variant is written as an object with one field, named for the alternative
+/// that the variant holds.
 template<typename... Alternatives>
-struct json_form<std::variant<Alternatives...>>
+struct json_serializer<std::variant<Alternatives...>>
 {
   using variant = std::variant<Alternatives...>;
 
@@ -37,7 +37,7 @@
     auto const write = []<typename Value>(Value const& aHeld) {
       nlohmann::json object;
       std::string const name{ json_alternative<Value>::kName };
-      object[name] = json_form<Value>::Write(aHeld);
+      object[name] = json_serializer<Value>::Write(aHeld);
       return object;
     };
     return std::visit(write, aValue);
@@ -53,7 +53,7 @@
     auto const found = aJson.find(name);
     if (found == aJson.end())
       return;
-    aResult = json_form<Alternative>::Read(*found, aPath.Field(name));
+    aResult = json_serializer<Alternative>::Read(*found, aPath.Field(name));
   }
 
   static std::string Allowed()
--- a/Tests/LibCodec/TestConfigFileCodec.cpp
+++ b/Tests/LibCodec/TestConfigFileCodec.cpp
@@ -17,7 +17,7 @@
   return "no fault";
 }
 
-TEST(TestConfigFileCodec, KeepsTablesThatAreLeftOut)
+TEST(TestConfigFileCodec, MissingTablesHaveNoValue)
 {
   config_file const file = DecodeConfigFile(
     R"({"workspaces":[{"name":"riga","rate_tokens_per_s":5,"burst_tokens":9}]})");
@@ -26,7 +26,7 @@
   EXPECT_EQ(DecodeConfigFile(EncodeConfigFile(file)), file);
 }
 
-TEST(TestConfigFileCodec, NamesPlaceValueAndWhatIsAllowed)
+TEST(TestConfigFileCodec, ErrorNamesPathValueAndWhatIsAllowed)
 {
   EXPECT_EQ(FaultOf(R"({"pools":[{"name":"p","kind":"model","servers":[
     {"id":"a","address":"localhost:80","failure_domain":"d"}]}]})"),
@@ -42,7 +42,7 @@
             "number is expected");
 }
 
-TEST(TestConfigFileCodec, RefusesUnknownMissingAndDoubledFields)
+TEST(TestConfigFileCodec, RefusesUnknownMissingAndDuplicateFields)
 {
   EXPECT_EQ(FaultOf(R"({"keyz":[]})"),
             "$.keyz: [] is refused; the field is unknown; known are: routes "
--- a/Tests/LibCodec/TestRecordCodec.cpp
+++ b/Tests/LibCodec/TestRecordCodec.cpp
@@ -62,7 +62,7 @@
 Outcomes()
 {
   request_key const key{ workspace_id{ "riga" }, idempotency_key{ "b-1" } };
-  // Bodies are bytes: neither UTF-8 nor of a length that fills base64 groups.
+  // The body isn't UTF-8, and its length isn't a multiple of a base64 group.
   return {
     Origin(),
     { { key, claim_number{ 3 }, verdict::Ran, 201, "image/png", "\xff\x01z\n" },
@@ -82,7 +82,7 @@
   ExpectRoundTrip(slot_claim{ Origin(), slot_id{ 2 }, {} });
 }
 
-TEST(TestRecordCodec, RoundTripOfTheLogsOwnRecords)
+TEST(TestRecordCodec, RoundTripOfLeasesNoOperationsAndCheckpoints)
 {
   ExpectRoundTrip(lease_grant{ Origin(),
                                pool_name{ "chat" },
@@ -92,7 +92,7 @@
   ExpectRoundTrip(checkpoint{ Origin(), log_offset{ 12 }, "{\"a\":1}" });
 }
 
-TEST(TestRecordCodec, RefusesUnknownKinds)
+TEST(TestRecordCodec, RefusesUnknownRecordTypesAndMalformedText)
 {
   EXPECT_THROW(DecodeRecord(R"({"novelty":{}})"), codec_error);
   EXPECT_THROW(DecodeRecord("[]"), codec_error);
