--- a/Libraries/LibSettings/AdvertiseSettings.h
+++ b/Libraries/LibSettings/AdvertiseSettings.h
@@ -4,7 +4,8 @@
 
 namespace lycheeseam {
 
-/// The addresses that others are told to use; the listen addresses by default.
+/// The addresses that the instance advertises to callers and peers; the listen
+/// addresses by default.
 struct advertise_settings
 {
   endpoint mCallers;
--- a/Libraries/LibSettings/DaemonSettings.h
+++ b/Libraries/LibSettings/DaemonSettings.h
@@ -15,7 +15,7 @@
 
 namespace lycheeseam {
 
-/// Everything that lycheeseamd is told at its start. docs/SETTINGS.md lists
+/// The settings of lycheeseamd, read once at its start. docs/SETTINGS.md lists
 /// each setting with its unit, default and allowed values.
 struct daemon_settings
 {
@@ -24,7 +24,8 @@
   listen_settings mListen;
   advertise_settings mAdvertise;
   endpoint mPlatform;
-  /// Peers to start from; the platform's list names the others.
+  /// The peers to connect to at the start; the platform's list of instances has
+  /// the others.
   std::vector<endpoint> mPeers;
   std::vector<operator_key> mOperators;
   thread_settings mThreads;
--- a/Libraries/LibSettings/FleetSettings.h
+++ b/Libraries/LibSettings/FleetSettings.h
@@ -9,8 +9,8 @@
 
 namespace lycheeseam {
 
-/// What lycheeseamd is told at its start when its state lies in a platform's
-/// store. docs/SETTINGS.md lists each setting.
+/// The settings of lycheeseamd when a platform's store keeps its state, read
+/// once at its start. docs/SETTINGS.md lists each setting.
 struct fleet_settings
 {
   instance_id mInstance;
@@ -19,28 +19,27 @@
   endpoint mReadiness;
   endpoint mAddresses;
   endpoint mPeers;
-  /// Where metrics are served; nowhere by default.
+  /// The listen address for metrics; metrics aren't served without it.
   std::optional<endpoint> mMetrics;
   endpoint mStore;
-  /// The processor cores that this instance has; 0 when it isn't told.
+  /// The processor cores that this instance has; 0 when unknown.
   double mCores = 0;
-  /// How long callers keep the answer to their question for addresses.
+  /// How long callers may cache the answer to an address query.
   std::chrono::seconds mAddressLifetime{ 2 };
-  /// Units that a workspace may be admitted in a window beyond its rate and
-  /// burst.
+  /// The units per window that a workspace may use beyond its rate and burst.
   std::uint64_t mQuotaSlack = 0;
   std::chrono::milliseconds mQuotaWindow{ 8'000 };
-  /// Repeats for each hundred first attempts, over all instances.
+  /// The most retries per 100 first attempts, over all instances.
   std::uint64_t mRetryPercent = 20;
-  /// Repeats allowed besides, within a window, over all instances.
+  /// The retries allowed per window beyond that share, over all instances.
   std::uint64_t mRetrySlack = 50;
   std::chrono::milliseconds mRetryWindow{ 10'000 };
-  /// How long after newer weights were named no request may begin on older
-  /// ones.
+  /// How long after a new target version requests may still start on older
+  /// weights.
   std::chrono::milliseconds mWeightsTime{ 8'000 };
-  /// How long a planned stop may take.
+  /// The most time that a planned stop may take.
   std::chrono::milliseconds mStopTime{ 8'000 };
-  /// For how long the holder of orders counts after its last sign of life.
+  /// How long the order lease lasts after its holder's last heartbeat.
   std::chrono::milliseconds mLease{ 3'000 };
 
   bool operator==(fleet_settings const&) const = default;
--- a/Libraries/LibSettings/HeartbeatSettings.h
+++ b/Libraries/LibSettings/HeartbeatSettings.h
@@ -4,15 +4,15 @@
 
 namespace lycheeseam {
 
-/// Intervals of the supervision of peers and of the log's freshness.
+/// The timing of failure detection between peers and of the log's freshness.
 struct heartbeat_settings
 {
-  /// Between two heartbeats, or two checks of a quiet link.
+  /// The time between two heartbeats, or two checks of an idle link.
   std::chrono::milliseconds mInterval{ 1000 };
-  /// A peer not heard from for this long is taken for dead.
+  /// A peer that sends nothing for this long is considered failed.
   std::chrono::milliseconds mTimeout{ 4000 };
-  /// An instance whose knowledge of the log's tail is older than this, its
-  /// peers' included, is not confirmed.
+  /// An instance is not confirmed when its newest observation of the log's
+  /// tail, its own or a peer's, is older than this.
   std::chrono::milliseconds mFreshnessBound{ 3000 };
 
   bool operator==(heartbeat_settings const&) const = default;
--- a/Libraries/LibSettings/LimitSettings.h
+++ b/Libraries/LibSettings/LimitSettings.h
@@ -4,16 +4,17 @@
 
 namespace lycheeseam {
 
-/// Bounds on what one process holds for others.
+/// Limits on the memory and streams that one process holds for callers and
+/// peers.
 struct limit_settings
 {
-  /// The largest request body taken from a caller, in bytes.
+  /// The largest request body accepted from a caller, in bytes.
   std::uint64_t mMaxBodyBytes = 16 << 20;
   /// The most streams open at once.
   std::uint32_t mMaxOpenStreams = 4096;
-  /// The most bytes queued for a caller that reads slowly.
+  /// The most bytes queued for one stream whose caller reads slowly.
   std::uint64_t mMaxStreamQueueBytes = 1 << 20;
-  /// The largest frame taken from or sent to a peer, in bytes.
+  /// The largest frame received from or sent to a peer, in bytes.
   std::uint64_t mMaxPeerFrameBytes = 16 << 20;
   /// The most bytes queued for one peer.
   std::uint64_t mMaxPeerQueueBytes = 32 << 20;
--- a/Libraries/LibSettings/LogLevel.h
+++ b/Libraries/LibSettings/LogLevel.h
@@ -2,7 +2,7 @@
 
 namespace lycheeseam {
 
-/// The least severe lines that are logged.
+/// The lowest severity that is logged.
 enum class log_level
 {
   Debug,
--- a/Libraries/LibSettings/NumberRange.h
+++ b/Libraries/LibSettings/NumberRange.h
@@ -4,7 +4,7 @@
 
 namespace lycheeseam {
 
-/// The whole numbers that a setting allows, both ends included.
+/// The range of integers that a setting allows, both ends included.
 struct number_range
 {
   std::uint64_t mLeast = 0;
--- a/Libraries/LibSettings/OperatorKey.h
+++ b/Libraries/LibSettings/OperatorKey.h
@@ -6,7 +6,7 @@
 
 namespace lycheeseam {
 
-/// An operator who may use the admin address, with the digest of their key.
+/// An operator who may use the admin API, and the digest of the operator's key.
 struct operator_key
 {
   std::string mName;
--- a/Libraries/LibSettings/ParseFleetSettings.cpp
+++ b/Libraries/LibSettings/ParseFleetSettings.cpp
@@ -13,9 +13,9 @@
 namespace {
 
 constexpr std::uint64_t kMinuteMs = 60'000;
-constexpr std::uint64_t kMostPercent = 1'000;
-constexpr double kMostCores = 1'000;
-constexpr std::uint64_t kMostUnits = 1'000'000'000;
+constexpr std::uint64_t kMaxPercent = 1'000;
+constexpr double kMaxCores = 1'000;
+constexpr std::uint64_t kMaxUnits = 1'000'000'000;
 
 endpoint
 ReadAddress(settings_reader& aReader, std::string_view aField)
@@ -39,17 +39,17 @@
 void
 ReadLimits(settings_reader aReader, fleet_settings& aSettings)
 {
-  number_range const span{ 1, kMinuteMs };
-  number_range const count{ 0, kMostUnits };
+  number_range const duration{ 1, kMinuteMs };
+  number_range const count{ 0, kMaxUnits };
   aReader.ReadNumber("quota_slack", count, aSettings.mQuotaSlack);
-  aReader.ReadMilliseconds("quota_window_ms", span, aSettings.mQuotaWindow);
+  aReader.ReadMilliseconds("quota_window_ms", duration, aSettings.mQuotaWindow);
   aReader.ReadNumber(
-    "retry_percent", { 0, kMostPercent }, aSettings.mRetryPercent);
+    "retry_percent", { 0, kMaxPercent }, aSettings.mRetryPercent);
   aReader.ReadNumber("retry_slack", count, aSettings.mRetrySlack);
-  aReader.ReadMilliseconds("retry_window_ms", span, aSettings.mRetryWindow);
-  aReader.ReadMilliseconds("weights_ms", span, aSettings.mWeightsTime);
-  aReader.ReadMilliseconds("stop_ms", span, aSettings.mStopTime);
-  aReader.ReadMilliseconds("lease_ms", span, aSettings.mLease);
+  aReader.ReadMilliseconds("retry_window_ms", duration, aSettings.mRetryWindow);
+  aReader.ReadMilliseconds("weights_ms", duration, aSettings.mWeightsTime);
+  aReader.ReadMilliseconds("stop_ms", duration, aSettings.mStopTime);
+  aReader.ReadMilliseconds("lease_ms", duration, aSettings.mLease);
   aReader.RefuseUnknownFields();
 }
 
@@ -71,7 +71,7 @@
   settings.mDomain = failure_domain{ domain };
   ReadListen(root.Section("listen"), settings);
   settings.mStore = ReadAddress(root, "store");
-  root.ReadFraction("cores", kMostCores, settings.mCores);
+  root.ReadFraction("cores", kMaxCores, settings.mCores);
   ReadLimits(root.Section("limits"), settings);
   root.RefuseUnknownFields();
 
--- a/Libraries/LibSettings/ParseSettings.h
+++ b/Libraries/LibSettings/ParseSettings.h
@@ -7,8 +7,8 @@
 
 namespace lycheeseam {
 
-/// Checks a settings file's text whole; throws settings_error, which holds
-/// all its faults.
+/// Parses and checks the text of a settings file; throws settings_error, which
+/// lists all faults.
 daemon_settings
 ParseSettings(std::string_view aText);
 
--- a/Libraries/LibSettings/ParseUniqueJson.cpp
+++ b/Libraries/LibSettings/ParseUniqueJson.cpp
@@ -12,12 +12,12 @@
 
 namespace {
 
-// The library keeps the last of two equal fields, which would let a file say
-// two things at once; the parser's events show both.
-class duplicate_finder
+// The library silently keeps the last of two fields of the same name, so that a
+// file could give one setting two values; its parser events show both.
+class duplicate_field_finder
 {
 public:
-  explicit duplicate_finder(std::vector<settings_fault>& aFaults)
+  explicit duplicate_field_finder(std::vector<settings_fault>& aFaults)
     : mFaults(&aFaults)
   {
   }
@@ -53,12 +53,12 @@
 ParseUniqueJson(std::string_view aText, std::vector<settings_fault>& aFaults)
 {
   try {
-    return json::parse(aText, duplicate_finder{ aFaults });
+    return json::parse(aText, duplicate_field_finder{ aFaults });
   } catch (json::parse_error const& parseError) {
-    // The library's message quotes the text, which may hold a key.
-    std::string const place = std::to_string(parseError.byte);
+    // The library's message quotes the text, which may contain a key.
+    std::string const position = std::to_string(parseError.byte);
     settings_fault fault{ .mPath = "$",
-                          .mValue = "a syntax error at byte " + place,
+                          .mValue = "a syntax error at byte " + position,
                           .mAllowed = "a JSON object" };
     throw settings_error({ std::move(fault) });
   }
--- a/Libraries/LibSettings/ParseUniqueJson.h
+++ b/Libraries/LibSettings/ParseUniqueJson.h
@@ -9,8 +9,8 @@
 
 namespace lycheeseam {
 
-/// Parses JSON and notes a fault for each field that stands twice in an
-/// object. Throws settings_error when the text is not JSON at all.
+/// Parses JSON and adds a fault for each duplicate field of an object. Throws
+/// settings_error when the text is not valid JSON.
 nlohmann::json
 ParseUniqueJson(std::string_view aText, std::vector<settings_fault>& aFaults);
 
--- a/Libraries/LibSettings/ReadSettingsFile.h
+++ b/Libraries/LibSettings/ReadSettingsFile.h
@@ -4,7 +4,8 @@
 
 namespace lycheeseam {
 
-/// The text of a settings file; throws settings_error when it can't be read.
+/// Returns the text of a settings file; throws settings_error when the file
+/// can't be read.
 std::string
 ReadSettingsFile(std::string const& aPath);
 
--- a/Libraries/LibSettings/SettingsError.h
+++ b/Libraries/LibSettings/SettingsError.h
@@ -8,7 +8,8 @@
 
 namespace lycheeseam {
 
-/// A settings file can't be used; holds every fault, not the first alone.
+/// Thrown when a settings file can't be used; lists every fault, not only the
+/// first.
 class settings_error : public error
 {
 public:
--- a/Libraries/LibSettings/SettingsFault.h
+++ b/Libraries/LibSettings/SettingsFault.h
@@ -4,17 +4,17 @@
 
 namespace lycheeseam {
 
-/// One thing wrong with a settings file.
+/// One fault of a settings file.
 struct settings_fault
 {
-  /// Where, as a JSON path such as "$.limits.max_body_bytes".
+  /// The JSON path of the fault, such as "$.limits.max_body_bytes".
   std::string mPath;
   /// The value found, as JSON; "nothing" when it is missing.
   std::string mValue;
-  /// What may stand there.
+  /// The allowed values.
   std::string mAllowed;
 
-  /// "PATH: found VALUE; allowed: ALLOWED".
+  /// Returns the fault as "PATH: found VALUE; allowed: ALLOWED".
   [[nodiscard]] std::string Text() const;
 
   bool operator==(settings_fault const&) const = default;
--- a/Libraries/LibSettings/SettingsReader.cpp
+++ b/Libraries/LibSettings/SettingsReader.cpp
@@ -140,7 +140,7 @@
   json const* const value = Find(aField, field_presence::Required, kAllowed);
   if (!value)
     return;
-  // A key put here by mistake must not reach a log, so the value isn't shown.
+  // The value may be the key itself by mistake, which must not reach a log.
   json const hidden = "(not shown)";
   if (!value->is_string())
     return AddFault(PathOf(aField), &hidden, kAllowed);
@@ -175,7 +175,7 @@
   for (auto const& [field, value] : mObject->items()) {
     if (mKnownFields.contains(field))
       continue;
-    // The value isn't shown, since it may be a key put here by mistake.
+    // Only the type is shown, since the value may be a key set here by mistake.
     json const shown = std::string{ "a " } + value.type_name();
     AddFault(PathOf(field), &shown, "no field of this name");
   }
@@ -235,7 +235,7 @@
     try {
       return endpoint::Parse(aValue.get_ref<std::string const&>());
     } catch (invalid_input const&) {
-      // Noted below, together with values that aren't text.
+      // Reported below, together with values that aren't strings.
     }
   }
   AddFault(aPath, &aValue, kEndpointAllowed);
--- a/Libraries/LibSettings/SettingsReader.h
+++ b/Libraries/LibSettings/SettingsReader.h
@@ -20,29 +20,29 @@
 
 namespace lycheeseam {
 
-/// Reads the fields of one JSON object and notes each fault.
+/// Reads the fields of one JSON object and adds each fault to a list.
 ///
-/// A target keeps its value where the field is left out or faulty, so that a
-/// settings struct's member initialisers are the only place for defaults.
+/// A target keeps its value when the field is missing or faulty, so that
+/// defaults are given only by the member initialisers of a settings struct.
 class settings_reader
 {
 public:
-  /// Reads aObject, which stands at aPath; faults go to aFaults. Both outlive
-  /// the reader.
+  /// Reads aObject, whose JSON path is aPath, and adds faults to aFaults. Both
+  /// aObject and aFaults must outlive the reader.
   settings_reader(nlohmann::json const& aObject,
                   std::string aPath,
                   std::vector<settings_fault>& aFaults);
 
-  /// Reads the object in a field; an absent one reads as an empty object.
+  /// Reads the object in a field; a missing field reads as an empty object.
   [[nodiscard]] settings_reader Section(std::string_view aField);
 
-  /// Reads the objects of a list; an absent field reads as an empty list.
+  /// Reads the objects of a list; a missing field reads as an empty list.
   [[nodiscard]] std::vector<settings_reader> Sections(std::string_view aField);
 
-  /// Reads a name: letters, digits, '.', '_' and '-', at most 64.
+  /// Reads a required name: 1 to 64 letters, digits, '.', '_' or '-'.
   void ReadName(std::string_view aField, std::string& aTarget);
 
-  /// Reads a whole number.
+  /// Reads an unsigned integer.
   template<std::unsigned_integral Number>
   void ReadNumber(std::string_view aField, number_range aRange, Number& aTarget)
   {
@@ -51,7 +51,7 @@
       aTarget = static_cast<Number>(*number);
   }
 
-  /// Reads a whole number of milliseconds.
+  /// Reads an unsigned integer of milliseconds.
   void ReadMilliseconds(std::string_view aField,
                         number_range aRange,
                         std::chrono::milliseconds& aTarget);
@@ -62,23 +62,23 @@
   /// Reads true or false.
   void ReadFlag(std::string_view aField, bool& aTarget);
 
-  /// Reads an IP number with a port; nothing when absent or faulty.
+  /// Reads an IP address with a port; nullopt when missing or faulty.
   [[nodiscard]] std::optional<endpoint> ReadEndpoint(std::string_view aField,
                                                      field_presence aPresence);
 
-  /// Reads a list of IP numbers with ports.
+  /// Reads a list of IP addresses with ports.
   void ReadEndpoints(std::string_view aField, std::vector<endpoint>& aTarget);
 
-  /// Reads a SHA-256 digest in hexadecimal digits.
+  /// Reads a required SHA-256 digest in hexadecimal digits.
   void ReadDigest(std::string_view aField, digest& aTarget);
 
   /// Reads a log level by its name.
   void ReadLogLevel(std::string_view aField, log_level& aTarget);
 
-  /// Notes a fault for each field that no call above asked for.
+  /// Adds a fault for each field that no call above has read.
   void RefuseUnknownFields();
 
-  /// Notes a fault of a field that is well-formed by itself.
+  /// Adds a fault for a field that is well formed but conflicts with another.
   void Refuse(std::string_view aField, std::string_view aAllowed);
 
 private:
--- a/Libraries/LibSettings/SettingsText.cpp
+++ b/Libraries/LibSettings/SettingsText.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr std::size_t kMaxNameLength = 64;
-constexpr std::size_t kMaxShownValue = 80;
+constexpr std::size_t kMaxShownBytes = 80;
 
 bool
 IsNameCharacter(unsigned char aCharacter)
@@ -43,8 +43,8 @@
     return "nothing";
   std::string text =
     aValue->dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
-  if (text.size() > kMaxShownValue) {
-    text.resize(kMaxShownValue);
+  if (text.size() > kMaxShownBytes) {
+    text.resize(kMaxShownBytes);
     text += "...";
   }
   return text;
--- a/Libraries/LibSettings/SettingsText.h
+++ b/Libraries/LibSettings/SettingsText.h
@@ -6,19 +6,20 @@
 
 #include <string>
 
-/// \file Values of a settings file, as checks and faults see them.
+/// \file Checks names and formats values and ranges for faults.
 
 namespace lycheeseam {
 
-/// True for 1 to 64 letters, digits, '.', '_' and '-'.
+/// Returns true for 1 to 64 letters, digits, '.', '_' and '-'.
 bool
 IsName(std::string const& aText);
 
-/// What a fault says of the whole numbers that are allowed.
+/// Returns a fault's text for a range of allowed integers.
 std::string
 RangeText(number_range aRange);
 
-/// What a fault shows of the value that was found; null for none.
+/// Returns a fault's text for the value found, truncated when long; "nothing"
+/// for null.
 std::string
 ShownValue(nlohmann::json const* aValue);
 
--- a/Libraries/LibSettings/ThreadSettings.h
+++ b/Libraries/LibSettings/ThreadSettings.h
@@ -4,7 +4,7 @@
 
 namespace lycheeseam {
 
-/// How many threads carry traffic; control state always has one.
+/// The number of traffic threads. There is always one control thread.
 struct thread_settings
 {
   std::uint32_t mFrontWorkers = 4;
--- a/Libraries/LibSettings/TraceSettings.h
+++ b/Libraries/LibSettings/TraceSettings.h
@@ -7,12 +7,12 @@
 
 namespace lycheeseam {
 
-/// Where spans are kept and sent.
+/// How many trace spans are kept and where they are exported.
 struct trace_settings
 {
   /// The most spans kept in memory.
   std::uint32_t mRingSpans = 8192;
-  /// An OTLP/HTTP collector; spans stay in the ring alone without one.
+  /// The OTLP/HTTP collector; without it, spans stay in the ring only.
   std::optional<endpoint> mOtlpEndpoint;
 
   bool operator==(trace_settings const&) const = default;
--- a/Tests/LibSettings/FaultPaths.h
+++ b/Tests/LibSettings/FaultPaths.h
@@ -7,8 +7,8 @@
 
 namespace lycheeseam {
 
-/// Where the faults stand that parsing a settings file's text tells; empty
-/// when it has none.
+/// Returns the JSON paths of the faults that aParse reports for a settings
+/// file's text; empty when there are none.
 template<typename Parser>
 std::vector<std::string>
 FaultPathsOf(Parser aParse, std::string const& aText)
--- a/Tests/LibSettings/TestParseFleetSettings.cpp
+++ b/Tests/LibSettings/TestParseFleetSettings.cpp
@@ -14,7 +14,7 @@
 using nlohmann::json;
 
 json
-Smallest()
+MinimalSettings()
 {
   return json::parse(R"({
     "instance": "entry-1",
@@ -31,9 +31,9 @@
   return FaultPathsOf(ParseFleetSettings, aText);
 }
 
-TEST(TestParseFleetSettings, SmallestFileTakesDefaults)
+TEST(TestParseFleetSettings, MinimalFileTakesDefaults)
 {
-  fleet_settings const settings = ParseFleetSettings(Smallest().dump());
+  fleet_settings const settings = ParseFleetSettings(MinimalSettings().dump());
   EXPECT_EQ(settings.mInstance, instance_id{ "entry-1" });
   EXPECT_EQ(settings.mStore, endpoint::Parse("127.0.0.1:7000"));
   EXPECT_FALSE(settings.mMetrics);
@@ -41,9 +41,9 @@
   EXPECT_EQ(settings.mQuotaWindow, std::chrono::milliseconds{ 8'000 });
 }
 
-TEST(TestParseFleetSettings, EachFieldIsRead)
+TEST(TestParseFleetSettings, ReadsEveryField)
 {
-  json document = Smallest();
+  json document = MinimalSettings();
   document["listen"]["metrics"] = "127.0.0.1:8084";
   document["cores"] = 0.25;
   document["limits"] = { { "quota_slack", 7 },      { "quota_window_ms", 11 },
@@ -63,9 +63,9 @@
   EXPECT_EQ(settings.mLease.count(), 17);
 }
 
-TEST(TestParseFleetSettings, AllFaultsAreToldAtOnce)
+TEST(TestParseFleetSettings, ReportsAllFaultsAtOnce)
 {
-  json document = Smallest();
+  json document = MinimalSettings();
   document.erase("store");
   document["listen"]["peers"] = "nowhere";
   document["listen"]["admin"] = "127.0.0.1:1";
@@ -81,10 +81,10 @@
                                        "$.store" }));
 }
 
-TEST(TestParseFleetSettings, CoresAreANumberWithinBounds)
+TEST(TestParseFleetSettings, RefusesCoresThatAreNoNumberOrOutOfBounds)
 {
   for (json const& wrong : { json("0.25"), json(1000.5), json::array() }) {
-    json document = Smallest();
+    json document = MinimalSettings();
     document["cores"] = wrong;
     EXPECT_EQ(FaultPaths(document.dump()),
               std::vector<std::string>{ "$.cores" });
--- a/Tests/LibSettings/TestParseSettings.cpp
+++ b/Tests/LibSettings/TestParseSettings.cpp
@@ -13,7 +13,7 @@
 using nlohmann::json;
 
 json
-Smallest()
+MinimalSettings()
 {
   return json::parse(R"({
     "instance": "entry-1",
@@ -30,9 +30,9 @@
   return FaultPathsOf(ParseSettings, aText);
 }
 
-TEST(TestParseSettings, SmallestFileTakesDefaults)
+TEST(TestParseSettings, MinimalFileTakesDefaults)
 {
-  daemon_settings const settings = ParseSettings(Smallest().dump());
+  daemon_settings const settings = ParseSettings(MinimalSettings().dump());
   EXPECT_EQ(settings.mInstance, instance_id{ "entry-1" });
   EXPECT_EQ(settings.mAdvertise.mCallers, settings.mListen.mCallers);
   EXPECT_EQ(settings.mAdvertise.mPeers, settings.mListen.mPeers);
@@ -45,7 +45,7 @@
 
 TEST(TestParseSettings, ReadsEverySection)
 {
-  json file = Smallest();
+  json file = MinimalSettings();
   file["advertise"] = { { "callers", "10.0.0.1:8080" } };
   file["peers"] = { "10.0.0.2:8082", "10.0.0.3:8082" };
   file["operators"] = { { { "name", "som" },
@@ -71,7 +71,7 @@
 
 TEST(TestParseSettings, ReportsAllFaultsAtOnce)
 {
-  json file = Smallest();
+  json file = MinimalSettings();
   file.erase("instance");
   file["listen"]["callers"] = "localhost:8080";
   file["limits"] = { { "max_body_bytes", 1 }, { "max_bodies", 2 } };
@@ -91,9 +91,9 @@
     << json(found).dump();
 }
 
-TEST(TestParseSettings, FaultNamesValueAndAllowed)
+TEST(TestParseSettings, FaultNamesPathValueAndAllowedRange)
 {
-  json file = Smallest();
+  json file = MinimalSettings();
   file["threads"] = { { "front_workers", 0 } };
   try {
     ParseSettings(file.dump());
@@ -107,7 +107,7 @@
 
 TEST(TestParseSettings, WildcardNeedsAdvertisedAddress)
 {
-  json file = Smallest();
+  json file = MinimalSettings();
   file["listen"]["callers"] = "0.0.0.0:8080";
   EXPECT_EQ(FaultPaths(file.dump()),
             std::vector<std::string>{ "$.advertise.callers" });
@@ -115,9 +115,9 @@
   EXPECT_TRUE(FaultPaths(file.dump()).empty());
 }
 
-TEST(TestParseSettings, NeverShowsWhatStandsForADigest)
+TEST(TestParseSettings, FaultHidesTheValueOfAKeyDigest)
 {
-  json file = Smallest();
+  json file = MinimalSettings();
   file["operators"] = {
     { { "name", "som" }, { "key", "s3cret" }, { "key_digest", "s3cret" } }
   };
@@ -131,16 +131,16 @@
   }
 }
 
-TEST(TestParseSettings, RefusesRepeatedFields)
+TEST(TestParseSettings, RefusesDuplicateFields)
 {
-  std::string text = Smallest().dump();
+  std::string text = MinimalSettings().dump();
   text.insert(1, R"("platform":"127.0.0.1:1",)");
   EXPECT_EQ(FaultPaths(text), std::vector<std::string>{ "$..platform" });
 }
 
-TEST(TestParseSettings, RefusesWhatContradictsItself)
+TEST(TestParseSettings, RefusesSettingsThatContradictEachOther)
 {
-  json file = Smallest();
+  json file = MinimalSettings();
   file["listen"]["admin"] = file["listen"]["callers"];
   file["heartbeat"] = { { "interval_ms", 3000 }, { "timeout_ms", 4000 } };
   file["limits"] = { { "max_peer_queue_bytes", 65536 } };
@@ -156,7 +156,7 @@
   EXPECT_FALSE(FaultPaths("[]").empty());
 }
 
-TEST(TestLoadSettings, NamesAnUnreadableFile)
+TEST(TestLoadSettings, RefusesUnreadableFile)
 {
   EXPECT_THROW(LoadSettings("/nonexistent/settings.json"), settings_error);
 }
