--- a/Libraries/LibConfig/PoolRow.h
+++ b/Libraries/LibConfig/PoolRow.h
@@ -16,8 +16,8 @@
   pool_name mName;
   pool_kind mKind = pool_kind::Service;
   std::vector<backend_server> mServers;
-  /// The model and the version of the weights that the engines should load;
-  /// empty in service pools.
+  /// In model pools: the model and the version of the weights that the engines
+  /// should load.
   model_name mModel;
   weights_version mWeights;
   /// The most requests outstanding on one backend server, intended as a total
--- a/Libraries/LibConfigLog/RowCheck.cpp
+++ b/Libraries/LibConfigLog/RowCheck.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr std::size_t kMaxNameBytes = 128;
-/// In tokens; low enough that sums of balances can't overflow.
+/// In tokens; keeps sums of balances far below overflow.
 constexpr token_count kMaxTokens = 1'000'000'000'000'000;
 constexpr std::int64_t kMaxTimeoutMs = 3'600'000;
 constexpr std::int64_t kMaxCount = 1'000'000;
