--- a/Libraries/LibCodec/ConfigCheckpoint.h
+++ b/Libraries/LibCodec/ConfigCheckpoint.h
@@ -8,9 +8,9 @@
 
 namespace lycheeseam {
 
-/// The configuration's section of a checkpoint.
+/// Converts the configuration to and from its checkpoint section.
 template<>
-struct checkpoint_form<config_fold>
+struct checkpoint_serializer<config_fold>
 {
   static std::string Save(config_fold const& aFold);
   static void Load(config_fold& aFold, std::string_view aText);
--- a/Libraries/LibCodec/EnumNames.h
+++ b/Libraries/LibCodec/EnumNames.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include <LibCodec/EnumForm.h>
+#include <LibCodec/EnumSerializer.h>
 #include <LibConfig/FencingSupport.h>
 #include <LibConfig/Idempotency.h>
 #include <LibConfig/PoolKind.h>
@@ -11,7 +11,7 @@
 
 #include <array>
 
-/// \file The names of enumerators in rows and records.
+/// \file The JSON names of the enumerators in rows and records.
 
 namespace lycheeseam {
 
--- a/Libraries/LibCodec/RecordForms.h
+++ b/Libraries/LibCodec/RecordSerializers.h
@@ -1,18 +1,18 @@
 #pragma once
 
-#include <LibCodec/Base64Form.h>
-#include <LibCodec/ContainerForms.h>
+#include <LibCodec/Base64Serializer.h>
+#include <LibCodec/ContainerSerializers.h>
 #include <LibCodec/EnumNames.h>
-#include <LibCodec/ObjectForm.h>
-#include <LibCodec/RowChangeForm.h>
-#include <LibCodec/RowForms.h>
-#include <LibCodec/ScalarForms.h>
-#include <LibCodec/VariantForm.h>
+#include <LibCodec/ObjectSerializer.h>
+#include <LibCodec/RowChangeSerializer.h>
+#include <LibCodec/RowSerializers.h>
+#include <LibCodec/ScalarSerializers.h>
+#include <LibCodec/VariantSerializer.h>
 #include <LibRecords/LogRecord.h>
 
 #include <tuple>
 
-/// \file The forms of the log's records.
+/// \file JSON serializers of the log's records.
 
 namespace lycheeseam {
 
@@ -84,7 +84,7 @@
     RequiredField("verdict", &request_outcome::mVerdict),
     OptionalField("status", &request_outcome::mStatus),
     OptionalField("content_type", &request_outcome::mContentType),
-    json_field<request_outcome, std::string, base64_form>{
+    json_field<request_outcome, std::string, base64_serializer>{
       "body_base64",
       &request_outcome::mBody,
       field_presence::Optional },
--- a/Libraries/LibCodec/RowChangeForm.h
+++ b/Libraries/LibCodec/RowChangeSerializer.h
@@ -1,12 +1,12 @@
 #pragma once
 
-#include <LibCodec/RowForms.h>
-#include <LibCodec/VariantForm.h>
+#include <LibCodec/RowSerializers.h>
+#include <LibCodec/VariantSerializer.h>
 #include <LibRecords/RowChange.h>
 
 #include <tuple>
 
-/// \file The forms of changes of rows.
+/// \file JSON serializers of changes of rows.
 
 namespace lycheeseam {
 
