--- a/StandIns/Engine/EngineApi.h
+++ b/StandIns/Engine/EngineApi.h
@@ -3,7 +3,7 @@
 #include <StandIns/Engine/EngineControl.h>
 #include <StandIns/Engine/EngineOptions.h>
 #include <StandIns/Engine/Generator.h>
-#include <StandIns/EngineModel/OrderDesk.h>
+#include <StandIns/EngineModel/OrderHandler.h>
 #include <StandIns/Http/HttpExchange.h>
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/steady_timer.hpp>
--- a/StandIns/EngineModel/OrderDesk.cpp
+++ b/StandIns/EngineModel/OrderHandler.cpp
@@ -1,4 +1,4 @@
-#include <StandIns/EngineModel/OrderDesk.h>
+#include <StandIns/EngineModel/OrderHandler.h>
 
 #include <algorithm>
 
