--- a/StandIns/Engine/EngineApi.cpp
+++ b/StandIns/Engine/EngineApi.cpp
@@ -31,10 +31,10 @@
   : mOptions(std::move(aOptions))
   , mIncarnation(NewIncarnation())
   , mGenerator(aContext, mOptions.mSpeed)
-  , mDesk(mOptions.mChecksFencing)
+  , mOrderHandler(mOptions.mChecksFencing)
   , mLoading(aContext)
 {
-  mDesk.Complete(
+  mOrderHandler.Complete(
     engine_order{ .mModel = mOptions.mModel, .mVersion = mOptions.mVersion });
 }
 
@@ -99,17 +99,17 @@
   aExchange->AddHeader("X-Engine-Id", mOptions.mId.Text());
   aExchange->AddHeader("X-Engine-Incarnation",
                        std::to_string(mIncarnation.Value()));
-  aExchange->AddHeader("X-Weights-Version", mDesk.Version().Text());
+  aExchange->AddHeader("X-Weights-Version", mOrderHandler.Version().Text());
   if (mIsLoading)
     return RespondError(*aExchange,
                         status::service_unavailable,
                         "loading_weights",
                         "new weights are being loaded; nothing was run");
-  bool const isAnyModel = mDesk.Model().IsEmpty();
-  if (!isAnyModel && request.mModel != mDesk.Model())
+  bool const isAnyModel = mOrderHandler.Model().IsEmpty();
+  if (!isAnyModel && request.mModel != mOrderHandler.Model())
     return RespondError(
       *aExchange, status::not_found, "model_not_loaded", request.mModel.Text());
-  mGenerator.Start(request, mDesk.Version(), aExchange);
+  mGenerator.Start(request, mOrderHandler.Version(), aExchange);
 }
 
 void
--- a/StandIns/Engine/EngineApi.h
+++ b/StandIns/Engine/EngineApi.h
@@ -45,7 +45,7 @@
   engine_options mOptions;
   incarnation mIncarnation;
   generator mGenerator;
-  order_desk mDesk;
+  order_handler mOrderHandler;
   boost::asio::steady_timer mLoading;
   bool mIsLoading = false;
   std::string mCrashOn;
--- a/StandIns/Engine/EngineOrders.cpp
+++ b/StandIns/Engine/EngineOrders.cpp
@@ -11,9 +11,9 @@
 engine_api::TakeOrder(exchange const& aExchange)
 {
   engine_order const order = ParseOrder(aExchange->Request().body());
-  if (mDesk.Check(order) == order_answer::StaleFencing) {
+  if (mOrderHandler.Check(order) == order_answer::StaleFencing) {
     json const error{ { "code", "stale_fencing" },
-                      { "newest", mDesk.Newest().Value() } };
+                      { "newest", mOrderHandler.Newest().Value() } };
     aExchange->Respond(status::conflict, json{ { "error", error } }.dump());
     return;
   }
@@ -36,14 +36,14 @@
 void
 engine_api::CarryOut(engine_order const& aOrder, exchange const& aExchange)
 {
-  mDesk.Complete(aOrder);
+  mOrderHandler.Complete(aOrder);
   if (aOrder.mKind == engine_order_kind::UnloadWeights)
     mGenerator.ClearCache();
   RespondOk(*aExchange,
-            { { "model", mDesk.Model().Text() },
-              { "version", mDesk.Version().Text() },
-              { "role", mDesk.Role() },
-              { "adapters", mDesk.Adapters() },
+            { { "model", mOrderHandler.Model().Text() },
+              { "version", mOrderHandler.Version().Text() },
+              { "role", mOrderHandler.Role() },
+              { "adapters", mOrderHandler.Adapters() },
               { "incarnation", mIncarnation.Value() } });
 }
 
@@ -57,7 +57,7 @@
   });
   RespondOk(*aExchange,
             { { "incarnation", mIncarnation.Value() },
-              { "version", mDesk.Version().Text() },
+              { "version", mOrderHandler.Version().Text() },
               { "blocks", BlocksToJson(held) } });
 }
 
@@ -65,7 +65,7 @@
 engine_api::ImportBlocks(exchange const& aExchange)
 {
   json const body = json::parse(aExchange->Request().body());
-  if (body.at("version").get<std::string>() != mDesk.Version().Text())
+  if (body.at("version").get<std::string>() != mOrderHandler.Version().Text())
     return RespondError(*aExchange,
                         status::conflict,
                         "other_weights",
--- a/StandIns/Engine/EngineReports.cpp
+++ b/StandIns/Engine/EngineReports.cpp
@@ -30,10 +30,10 @@
   load["cache_blocks"] = mOptions.mSpeed.mCacheBlocks;
   load["tokens_per_second"] = mOptions.mSpeed.mTokensPerSecond;
   load["prefill_tokens_per_second"] = mOptions.mSpeed.mPrefillTokensPerSecond;
-  load["model"] = mDesk.Model().Text();
-  load["version"] = mDesk.Version().Text();
-  load["adapters"] = mDesk.Adapters();
-  load["role"] = mDesk.Role();
+  load["model"] = mOrderHandler.Model().Text();
+  load["version"] = mOrderHandler.Version().Text();
+  load["adapters"] = mOrderHandler.Adapters();
+  load["role"] = mOrderHandler.Role();
   load["is_loading"] = mIsLoading;
   RespondOk(*aExchange, load);
 }
@@ -47,7 +47,7 @@
   cache_event_log const& events = mGenerator.Events();
   RespondOk(*aExchange,
             { { "incarnation", mIncarnation.Value() },
-              { "version", mDesk.Version().Text() },
+              { "version", mOrderHandler.Version().Text() },
               { "earliest", events.Earliest().Value() },
               { "next", events.NextVisible(now).Value() },
               { "events", EventsToJson(events.From(from, now)) } });
@@ -57,7 +57,7 @@
 engine_api::TellCounts(exchange const& aExchange)
 {
   json counts = CountsToJson(mGenerator.Counts());
-  counts["stale_orders_accepted"] = mDesk.StaleAccepted();
+  counts["stale_orders_accepted"] = mOrderHandler.StaleAccepted();
   counts["incarnation"] = mIncarnation.Value();
   RespondOk(*aExchange, counts);
 }
--- a/StandIns/EngineModel/BlockHash.h
+++ b/StandIns/EngineModel/BlockHash.h
@@ -4,7 +4,8 @@
 
 namespace lycheeseam::standin {
 
-/// A block of a prompt, known by the hash of the chain that ends with it.
+/// Identifies a prompt block: the hash of the chain of blocks that ends with
+/// it.
 using block_hash = ordinal<struct block_hash_tag>;
 
 }
--- a/StandIns/EngineModel/CacheEvent.h
+++ b/StandIns/EngineModel/CacheEvent.h
@@ -9,16 +9,17 @@
 
 namespace lycheeseam::standin {
 
-/// What happened to the blocks of a cache event.
+/// How a cache event changed the cached blocks.
 enum class cache_event_kind
 {
   Stored,
   Evicted,
-  /// Everything went, for instance since new weights were loaded.
+  /// The cache was emptied, for instance because new weights were loaded.
   Cleared,
 };
 
-/// One entry of an engine's stream of cache events.
+/// One entry of an engine's stream of cache events; event_sequence numbers
+/// them from 1 on.
 struct cache_event
 {
   event_sequence mSequence;
--- a/StandIns/EngineModel/CacheEventLog.cpp
+++ b/StandIns/EngineModel/CacheEventLog.cpp
@@ -6,7 +6,8 @@
 
 namespace {
 
-/// Events kept; older ones are forgotten as an engine's buffer does.
+/// The most events kept. Older ones are dropped, as a real engine's bounded
+/// buffer drops them.
 constexpr std::size_t kMaxEvents = 65536;
 
 }
--- a/StandIns/EngineModel/CacheEventLog.h
+++ b/StandIns/EngineModel/CacheEventLog.h
@@ -8,11 +8,12 @@
 
 namespace lycheeseam::standin {
 
-/// An engine's recent cache events. They can be told late and with gaps.
+/// An engine's recent cache events. To test its readers, the log can show
+/// events late and drop some of them.
 class cache_event_log
 {
 public:
-  /// Records an event; nothing if no block is concerned, except for Cleared.
+  /// Records an event; ignores one without blocks unless it is Cleared.
   void Add(cache_event_kind aKind,
            std::vector<block_hash> aBlocks,
            instant aNow);
@@ -21,16 +22,17 @@
   [[nodiscard]] std::vector<cache_event> From(event_sequence aFirst,
                                               instant aNow) const;
 
-  /// The sequence number that the next visible event will have at least.
+  /// The lowest sequence number that the next visible event can have.
   [[nodiscard]] event_sequence NextVisible(instant aNow) const;
 
   /// The sequence number of the oldest event still held.
   [[nodiscard]] event_sequence Earliest() const;
 
-  /// How long after it happened an event is told.
+  /// Sets how long after it happened an event becomes visible.
   void SetDelay(duration aDelay) { mDelay = aDelay; }
 
-  /// Loses every Nth event, its sequence number with it; 0 loses none.
+  /// Drops every Nth event, so that its sequence number is missing; 0 drops
+  /// none.
   void SetLostEvery(std::uint64_t aEvery) { mLostEvery = aEvery; }
 
 private:
--- a/StandIns/EngineModel/EngineBatch.cpp
+++ b/StandIns/EngineModel/EngineBatch.cpp
@@ -9,7 +9,8 @@
 
 namespace {
 
-/// Steps made up for after a late wake-up; a longer pause is lost time.
+/// The most steps made up for after a late wake-up. The rest of a longer pause
+/// produces no tokens.
 constexpr int kMaxStepsAtOnce = 64;
 
 duration
@@ -36,9 +37,11 @@
 void
 engine_batch::Cancel(sequence_id aId)
 {
-  auto const isIt = [aId](sequence const& aOther) { return aOther.mId == aId; };
-  std::erase_if(mWaiting, isIt);
-  std::erase_if(mRunning, isIt);
+  auto const isSame = [aId](sequence const& aOther) {
+    return aOther.mId == aId;
+  };
+  std::erase_if(mWaiting, isSame);
+  std::erase_if(mRunning, isSame);
 }
 
 std::optional<instant>
@@ -59,7 +62,8 @@
 {
   if (mWaiting.empty() || mRunning.size() >= mSettings.mMaxBatch)
     return nullptr;
-  // The first of the lowest value: in order of arrival within a priority.
+  // min_element returns the first of equal values, which keeps the order of
+  // arrival within a priority.
   auto const first =
     std::min_element(mWaiting.begin(),
                      mWaiting.end(),
@@ -96,7 +100,7 @@
       mNextStep = aNow + StepTime();
   }
   StartReady(aNow, steps);
-  DropFinished();
+  RemoveFinished();
   std::erase_if(
     steps, [](token_step const& aStep) { return aStep.mFirst == aStep.mEnd; });
   return steps;
@@ -137,7 +141,7 @@
 }
 
 void
-engine_batch::DropFinished()
+engine_batch::RemoveFinished()
 {
   std::erase_if(mRunning, [](sequence const& aRunning) {
     return aRunning.mNextToken == aRunning.mEndToken;
--- a/StandIns/EngineModel/EngineBatch.h
+++ b/StandIns/EngineModel/EngineBatch.h
@@ -10,7 +10,7 @@
 
 namespace lycheeseam::standin {
 
-/// Tells how many of a sequence's prompt tokens must be computed.
+/// Returns how many of a sequence's prompt tokens must be computed.
 template<typename Lookup>
 concept prefill_lookup = requires(Lookup& aLookup, sequence const& aSequence)
 {
@@ -19,8 +19,9 @@
     } -> std::convertible_to<token_count>;
 };
 
-/// Continuous batching: all admitted sequences get a token a step, and a step
-/// takes longer the more of them there are. Virtual time throughout.
+/// Models continuous batching: each step produces one token for every admitted
+/// sequence, and a step takes longer the more sequences decode. The caller
+/// passes in the time; the batch reads no clock.
 class engine_batch
 {
 public:
@@ -29,10 +30,10 @@
   /// Queues a sequence; Advance admits it.
   void Add(sequence aSequence);
 
-  /// Forgets a sequence, waiting or running.
+  /// Removes a sequence, waiting or running.
   void Cancel(sequence_id aId);
 
-  /// Moves the batch on to a point in time; returns the tokens produced.
+  /// Advances the batch to a point in time; returns the tokens produced.
   template<prefill_lookup Lookup>
   std::vector<token_step> Advance(instant aNow, Lookup&& aLookup)
   {
@@ -41,10 +42,10 @@
     return Decode(aNow);
   }
 
-  /// When Advance has something to do next; nothing while idle.
+  /// When Advance has something to do next; std::nullopt while idle.
   [[nodiscard]] std::optional<instant> NextWake() const;
 
-  /// Sequences that wait for a place in the batch.
+  /// Sequences that wait for capacity in the batch.
   [[nodiscard]] std::size_t Waiting() const { return mWaiting.size(); }
 
   /// Sequences in the batch.
@@ -60,7 +61,7 @@
   void StartReady(instant aNow, std::vector<token_step>& aSteps);
   void StepAll(std::vector<token_step>& aSteps);
   static void Emit(sequence& aSequence, token_step& aStep);
-  void DropFinished();
+  void RemoveFinished();
   [[nodiscard]] duration StepTime() const;
   [[nodiscard]] bool IsDecoding() const;
 
--- a/StandIns/EngineModel/EngineOrder.h
+++ b/StandIns/EngineModel/EngineOrder.h
@@ -6,7 +6,7 @@
 
 namespace lycheeseam::standin {
 
-/// What an order asks of an engine.
+/// The action that an order requests from an engine.
 enum class engine_order_kind
 {
   LoadWeights,
@@ -16,15 +16,15 @@
   SetRole,
 };
 
-/// An order to an engine.
+/// An order to an engine, with the fencing number of its sender.
 struct engine_order
 {
   engine_order_kind mKind = engine_order_kind::LoadWeights;
   model_name mModel;
   weights_version mVersion;
-  /// Of adapter orders.
+  /// Only set in adapter orders.
   std::string mAdapter;
-  /// "prefill", "decode" or "both", of role orders.
+  /// "prefill", "decode" or "both"; only set in role orders.
   std::string mRole;
   fencing_number mFencing;
 };
--- a/StandIns/EngineModel/EngineSettings.h
+++ b/StandIns/EngineModel/EngineSettings.h
@@ -6,18 +6,18 @@
 
 namespace lycheeseam::standin {
 
-/// How fast and how large a stand-in engine is.
+/// The speed and the capacity of a stand-in engine.
 struct engine_settings
 {
-  /// Tokens a second of a stream that has the engine to itself.
+  /// Tokens per second of a stream that runs alone.
   double mTokensPerSecond = 50;
-  /// What each further stream adds to the time of a step, as a fraction.
+  /// The fraction of a step's time that each further stream adds.
   double mSlowdownPerStream = 0.02;
-  /// Uncached prompt tokens a second; prefills run one after another.
+  /// Uncached prompt tokens per second; prefills run one after another.
   double mPrefillTokensPerSecond = 20000;
-  /// Streams that decode together; others wait by priority.
+  /// The most streams that decode together; others wait by priority.
   std::size_t mMaxBatch = 64;
-  /// Blocks that the prefix cache holds.
+  /// The capacity of the prefix cache in blocks.
   std::size_t mCacheBlocks = 4096;
 };
 
--- a/StandIns/EngineModel/Lagged.h
+++ b/StandIns/EngineModel/Lagged.h
@@ -7,26 +7,27 @@
 
 namespace lycheeseam::standin {
 
-/// A value that is told with a lag: its history is kept for that long.
+/// A value that is read with a lag, as a stale report shows it. Its history is
+/// kept for as long as the lag needs.
 template<typename Value>
 class lagged
 {
 public:
-  /// How old a told value is at least.
+  /// Sets the minimum age of the values that Read returns.
   void SetLag(duration aLag) { mLag = aLag; }
 
-  /// Notes the value of now; the same value again costs nothing.
+  /// Records the current value; an unchanged value adds no entry.
   void Record(instant aNow, Value aValue)
   {
-    Forget(aNow);
+    DropSuperseded(aNow);
     if (mHistory.empty() || !(mHistory.back().mValue == aValue))
       mHistory.push_back(entry{ aNow, std::move(aValue) });
   }
 
-  /// The value as it was a lag ago, or the oldest known.
+  /// The value as it was one lag ago, or the oldest known.
   [[nodiscard]] Value Read(instant aNow)
   {
-    Forget(aNow);
+    DropSuperseded(aNow);
     return mHistory.empty() ? Value{} : mHistory.front().mValue;
   }
 
@@ -37,7 +38,7 @@
     Value mValue;
   };
 
-  void Forget(instant aNow)
+  void DropSuperseded(instant aNow)
   {
     while (mHistory.size() > 1 && mHistory[1].mSince + mLag <= aNow)
       mHistory.pop_front();
--- a/StandIns/EngineModel/OrderAnswer.h
+++ b/StandIns/EngineModel/OrderAnswer.h
@@ -2,11 +2,11 @@
 
 namespace lycheeseam::standin {
 
-/// What an engine says to an order.
+/// An engine's answer to an order.
 enum class order_answer
 {
   Accepted,
-  /// A newer fencing number has been seen.
+  /// Refused: an earlier order had a larger fencing number.
   StaleFencing,
 };
 
--- a/StandIns/EngineModel/OrderHandler.cpp
+++ b/StandIns/EngineModel/OrderHandler.cpp
@@ -4,13 +4,13 @@
 
 namespace lycheeseam::standin {
 
-order_desk::order_desk(bool aChecksFencing)
+order_handler::order_handler(bool aChecksFencing)
   : mChecksFencing(aChecksFencing)
 {
 }
 
 order_answer
-order_desk::Check(engine_order const& aOrder)
+order_handler::Check(engine_order const& aOrder)
 {
   bool const isStale = aOrder.mFencing < mNewest;
   if (isStale && mChecksFencing)
@@ -22,7 +22,7 @@
 }
 
 void
-order_desk::Complete(engine_order const& aOrder)
+order_handler::Complete(engine_order const& aOrder)
 {
   switch (aOrder.mKind) {
     case engine_order_kind::LoadWeights:
--- a/StandIns/EngineModel/OrderHandler.h
+++ b/StandIns/EngineModel/OrderHandler.h
@@ -10,18 +10,19 @@
 
 namespace lycheeseam::standin {
 
-/// Takes orders: checks their fencing numbers, or doesn't, and keeps what the
-/// engine holds.
-class order_desk
+/// Handles orders to an engine: checks their fencing numbers, if configured to,
+/// and keeps the engine's model, version, adapters and role.
+class order_handler
 {
 public:
-  /// aChecksFencing: whether an order with an old number is refused.
-  explicit order_desk(bool aChecksFencing);
+  /// aChecksFencing: whether an order with an outdated fencing number is
+  /// refused.
+  explicit order_handler(bool aChecksFencing);
 
-  /// Checks an order; the caller carries out an accepted one with Complete.
+  /// Checks an order; the caller applies an accepted one with Complete.
   order_answer Check(engine_order const& aOrder);
 
-  /// Puts an accepted order into force.
+  /// Applies an accepted order to the engine's state.
   void Complete(engine_order const& aOrder);
 
   /// The largest fencing number seen.
@@ -35,7 +36,8 @@
     return mAdapters;
   }
 
-  /// Orders with an old number that were carried out all the same.
+  /// Orders with an outdated fencing number that were accepted because the
+  /// check is off.
   [[nodiscard]] std::uint64_t StaleAccepted() const { return mStaleAccepted; }
 
 private:
--- a/StandIns/EngineModel/PrefixCache.cpp
+++ b/StandIns/EngineModel/PrefixCache.cpp
@@ -24,8 +24,8 @@
   for (block_hash const block : aChain) {
     if (Contains(block))
       continue;
-    mOrder.push_front(block);
-    mPlaces.emplace(block, mOrder.begin());
+    mRecency.push_front(block);
+    mPositions.emplace(block, mRecency.begin());
     stored.push_back(block);
   }
   Touch(aChain);
@@ -36,10 +36,10 @@
 prefix_cache::Evict()
 {
   std::vector<block_hash> evicted;
-  while (mOrder.size() > mCapacityBlocks) {
-    evicted.push_back(mOrder.back());
-    mPlaces.erase(mOrder.back());
-    mOrder.pop_back();
+  while (mRecency.size() > mCapacityBlocks) {
+    evicted.push_back(mRecency.back());
+    mPositions.erase(mRecency.back());
+    mRecency.pop_back();
   }
   return evicted;
 }
@@ -47,23 +47,23 @@
 bool
 prefix_cache::Contains(block_hash aBlock) const
 {
-  return mPlaces.contains(aBlock);
+  return mPositions.contains(aBlock);
 }
 
 void
 prefix_cache::Clear()
 {
-  mOrder.clear();
-  mPlaces.clear();
+  mRecency.clear();
+  mPositions.clear();
 }
 
 void
 prefix_cache::Touch(std::span<block_hash const> aChain)
 {
   // Deepest first, so that a chain is evicted from its end: a block whose
-  // parent has gone can't be matched.
+  // parent has been evicted can't be matched.
   for (auto block = aChain.rbegin(); block != aChain.rend(); ++block)
-    mOrder.splice(mOrder.begin(), mOrder, mPlaces.at(*block));
+    mRecency.splice(mRecency.begin(), mRecency, mPositions.at(*block));
 }
 
 }
--- a/StandIns/EngineModel/PrefixCache.h
+++ b/StandIns/EngineModel/PrefixCache.h
@@ -10,37 +10,39 @@
 
 namespace lycheeseam::standin {
 
-/// An engine's cache of prompt blocks, the least recently used leaving first.
+/// An engine's cache of prompt blocks, which evicts the least recently used
+/// first.
 class prefix_cache
 {
 public:
   explicit prefix_cache(std::size_t aCapacityBlocks);
 
-  /// The length of the chain's cached beginning, in blocks; touches it.
+  /// The length of the chain's cached prefix in blocks; marks these blocks as
+  /// used.
   std::size_t Match(std::span<block_hash const> aChain);
 
-  /// Adds the chain's blocks; returns those that weren't there.
+  /// Adds the chain's blocks; returns those that weren't cached yet.
   std::vector<block_hash> Store(std::span<block_hash const> aChain);
 
-  /// Drops the blocks over the capacity; returns them.
+  /// Evicts the blocks beyond the capacity; returns them.
   std::vector<block_hash> Evict();
 
-  /// True if the block is cached; doesn't touch it.
+  /// True if the block is cached; doesn't mark it as used.
   [[nodiscard]] bool Contains(block_hash aBlock) const;
 
-  /// Drops everything.
+  /// Drops all blocks.
   void Clear();
 
-  /// Blocks held.
-  [[nodiscard]] std::size_t Size() const { return mPlaces.size(); }
+  /// The number of cached blocks.
+  [[nodiscard]] std::size_t Size() const { return mPositions.size(); }
 
 private:
   void Touch(std::span<block_hash const> aChain);
 
   std::size_t mCapacityBlocks;
   /// Most recently used first.
-  std::list<block_hash> mOrder;
-  std::unordered_map<block_hash, std::list<block_hash>::iterator> mPlaces;
+  std::list<block_hash> mRecency;
+  std::unordered_map<block_hash, std::list<block_hash>::iterator> mPositions;
 };
 
 }
--- a/StandIns/EngineModel/Sequence.h
+++ b/StandIns/EngineModel/Sequence.h
@@ -10,7 +10,8 @@
 
 namespace lycheeseam::standin {
 
-/// One answer that a stand-in engine produces, known within the engine alone.
+/// Identifies an answer that a stand-in engine produces; only used inside the
+/// engine.
 using sequence_id = ordinal<struct sequence_tag>;
 
 /// A request as the batch sees it: token counts and blocks, no text.
@@ -21,11 +22,11 @@
   std::int32_t mPriority = 1;
   std::vector<block_hash> mChain;
   token_count mPromptTokens = 0;
-  /// The token that comes next, counted from 0 over the whole answer.
+  /// The index of the next token, counted from 0 over the complete answer.
   token_count mNextToken = 0;
-  /// The token after the last.
+  /// The index after the last token.
   token_count mEndToken = 0;
-  /// When the prompt has been computed; set on admission.
+  /// When the prefill ends; set on admission.
   instant mReadyAt;
   bool mDecoding = false;
 };
--- a/StandIns/EngineModel/TokenStep.h
+++ b/StandIns/EngineModel/TokenStep.h
@@ -4,7 +4,8 @@
 
 namespace lycheeseam::standin {
 
-/// Tokens that one sequence got in an advance of the batch.
+/// The tokens that one call of Advance produced for a sequence: the indexes
+/// from mFirst up to, but not including, mEnd.
 struct token_step
 {
   sequence_id mId;
--- a/Tests/EngineModel/TestEngineBatch.cpp
+++ b/Tests/EngineModel/TestEngineBatch.cpp
@@ -28,7 +28,7 @@
   return aSequence.mPromptTokens;
 }
 
-/// Runs a batch to its end; returns the time at which it was done.
+/// Runs a batch until it is idle; returns the time of its last step.
 instant
 Finish(engine_batch& aBatch, std::vector<sequence_id>& aFinished)
 {
@@ -44,7 +44,7 @@
   return now;
 }
 
-TEST(TestEngineBatch, TakesPrefillAndSteps)
+TEST(TestEngineBatch, FinishesAfterPrefillAndDecodeSteps)
 {
   engine_batch batch{ kSettings };
   batch.Add(Sequence(1));
@@ -52,7 +52,7 @@
   EXPECT_EQ(Finish(batch, finished), instant{ 100ms + 20ms });
 }
 
-TEST(TestEngineBatch, SlowsDownAsItGrows)
+TEST(TestEngineBatch, StepTakesLongerWithMoreStreams)
 {
   engine_batch batch{ kSettings };
   batch.Add(Sequence(1));
@@ -70,7 +70,7 @@
   EXPECT_EQ(together.NextWake(), instant{ 20ms });
 }
 
-TEST(TestEngineBatch, AdmitsByPriority)
+TEST(TestEngineBatch, AdmitsLowestPriorityValueFirst)
 {
   engine_batch batch{ kSettings };
   batch.Add(Sequence(1, 2));
@@ -81,7 +81,7 @@
   EXPECT_EQ(finished.back(), sequence_id{ 1 });
 }
 
-TEST(TestEngineBatch, ForgetsCancelled)
+TEST(TestEngineBatch, IsIdleAfterOnlySequenceIsCancelled)
 {
   engine_batch batch{ kSettings };
   batch.Add(Sequence(1));
--- a/Tests/EngineModel/TestPrefixCache.cpp
+++ b/Tests/EngineModel/TestPrefixCache.cpp
@@ -15,7 +15,7 @@
     workspace_id{ aWorkspace }, weights_version{ "v1" }, aPrompt);
 }
 
-TEST(TestPrefixCache, MatchesTheCommonPrefixOnly)
+TEST(TestPrefixCache, MatchesOnlyCommonPrefixWithinWorkspace)
 {
   std::string const shared(128, 'a');
   prefix_cache cache{ 100 };
@@ -24,7 +24,7 @@
   EXPECT_EQ(cache.Match(Chain("other", shared)), 0);
 }
 
-TEST(TestPrefixCache, EvictsTheLeastRecentFromItsEnd)
+TEST(TestPrefixCache, EvictsLeastRecentlyUsedChainFromItsEnd)
 {
   std::vector<block_hash> const older = Chain("w", std::string(128, 'a'));
   std::vector<block_hash> const newer = Chain("w", std::string(128, 'b'));
@@ -36,7 +36,7 @@
   EXPECT_EQ(cache.Match(newer), 2);
 }
 
-TEST(TestCacheEventLog, TellsLateAndWithGaps)
+TEST(TestCacheEventLog, ShowsEventsAfterDelayWithoutDroppedOnes)
 {
   cache_event_log log;
   log.SetDelay(10ms);
@@ -44,10 +44,10 @@
   for (std::uint64_t block = 1; block <= 3; ++block)
     log.Add(cache_event_kind::Stored, { block_hash{ block } }, instant{});
   EXPECT_TRUE(log.From(event_sequence{ 1 }, instant{ 9ms }).empty());
-  std::vector<cache_event> const told =
+  std::vector<cache_event> const visible =
     log.From(event_sequence{ 1 }, instant{ 10ms });
-  ASSERT_EQ(told.size(), 2);
-  EXPECT_EQ(told[1].mSequence, event_sequence{ 3 });
+  ASSERT_EQ(visible.size(), 2);
+  EXPECT_EQ(visible[1].mSequence, event_sequence{ 3 });
 }
 
 }
