--- a/StandIns/Platform/DelayedTasks.cpp
+++ b/StandIns/Platform/DelayedTasks.cpp
@@ -11,7 +11,7 @@
 {
   {
     std::lock_guard const lock{ mMutex };
-    mIsEnding = true;
+    mIsStopping = true;
   }
   mChanged.notify_one();
   mThread.join();
@@ -31,14 +31,14 @@
 delayed_tasks::Run()
 {
   std::unique_lock lock{ mMutex };
-  while (!mIsEnding) {
+  while (!mIsStopping) {
     if (mTasks.empty()) {
       mChanged.wait(lock);
       continue;
     }
     auto const next = mTasks.begin();
     if (next->first > std::chrono::steady_clock::now()) {
-      // A copy: the task may be gone when the wait returns.
+      // Copied, because the task may have been removed when the wait returns.
       std::chrono::steady_clock::time_point const due = next->first;
       mChanged.wait_until(lock, due);
       continue;
--- a/StandIns/Platform/DelayedTasks.h
+++ b/StandIns/Platform/DelayedTasks.h
@@ -10,7 +10,8 @@
 
 namespace lycheeseam::standin {
 
-/// Runs tasks at their time on one thread; tasks left at the end are dropped.
+/// Runs each task after its delay on a thread of its own. The destructor drops
+/// the tasks that are not due yet.
 class delayed_tasks
 {
 public:
@@ -29,7 +30,7 @@
   std::condition_variable mChanged;
   std::multimap<std::chrono::steady_clock::time_point, std::function<void()>>
     mTasks;
-  bool mIsEnding = false;
+  bool mIsStopping = false;
   std::thread mThread;
 };
 
--- a/StandIns/Platform/FaultSettings.h
+++ b/StandIns/Platform/FaultSettings.h
@@ -5,26 +5,28 @@
 
 namespace lycheeseam::standin {
 
-/// What is wrong with the stand-in at the moment; set over /control/faults.
+/// The faults that the stand-in platform simulates; a PUT to /control/faults
+/// sets them.
 struct fault_settings
 {
   /// Every call is refused with 503 and has no effect.
   bool mOutage = false;
-  /// Every answer waits this long.
+  /// The delay before every answer.
   std::chrono::milliseconds mDelay{ 0 };
-  /// So many appends take effect, but their answers are lost (504).
+  /// This many next appends take effect but are answered 504, as if the answer
+  /// were lost.
   std::uint32_t mLoseAnswers = 0;
-  /// So many appends are answered 504 at once and take effect later.
+  /// This many next appends are answered 504 at once and take effect later.
   std::uint32_t mLateAppends = 0;
-  /// How much later those take effect.
+  /// How much later the late appends take effect.
   std::chrono::milliseconds mLateBy{ 1000 };
-  /// The most records that the log keeps.
+  /// The most records that the log retains; older ones are dropped.
   std::uint32_t mRetentionRecords = 100'000;
-  /// How much the list of instances lags.
+  /// How old the list of instances is that readers get.
   std::chrono::milliseconds mListLag{ 0 };
-  /// How many weights the store gives out in a second.
+  /// The most downloads of weights that may start per second.
   std::uint32_t mWeightsPerSecond = 10;
-  /// How long the store takes for one.
+  /// How long one download takes.
   std::chrono::milliseconds mWeightsTime{ 100 };
 };
 
--- a/StandIns/Platform/LaggingList.cpp
+++ b/StandIns/Platform/LaggingList.cpp
@@ -6,16 +6,17 @@
 
 namespace {
 
-/// How many past states are kept; a longer lag sees the oldest of them.
+/// How many past states are kept. A lag that reaches further back reads the
+/// oldest of them.
 constexpr std::size_t kKeptStates = 4096;
 
 void
 Erase(instance_list& aList, instance_id const& aInstance)
 {
-  auto const isIt = [&aInstance](listed_instance const& aListed) {
+  auto const isSame = [&aInstance](listed_instance const& aListed) {
     return aListed.mId == aInstance;
   };
-  std::erase_if(aList.mInstances, isIt);
+  std::erase_if(aList.mInstances, isSame);
 }
 
 }
@@ -26,7 +27,7 @@
   instance_list next = mStates.back().mList;
   Erase(next, aInstance.mId);
   next.mInstances.push_back(aInstance);
-  Push(std::move(next), aNow);
+  AddState(std::move(next), aNow);
 }
 
 void
@@ -34,7 +35,7 @@
 {
   instance_list next = mStates.back().mList;
   Erase(next, aInstance);
-  Push(std::move(next), aNow);
+  AddState(std::move(next), aNow);
 }
 
 instance_list
@@ -48,7 +49,7 @@
 }
 
 void
-lagging_list::Push(instance_list aList, instant aNow)
+lagging_list::AddState(instance_list aList, instant aNow)
 {
   mStates.push_back({ .mSince = aNow, .mList = std::move(aList) });
   if (mStates.size() > kKeptStates)
--- a/StandIns/Platform/LaggingList.h
+++ b/StandIns/Platform/LaggingList.h
@@ -7,17 +7,18 @@
 
 namespace lycheeseam::standin {
 
-/// The list of instances, which readers see as it was some time ago.
+/// The list of instances with its past states, so that readers get it as it was
+/// some time ago.
 class lagging_list
 {
 public:
-  /// Adds or replaces an instance's line.
+  /// Adds or replaces an instance's entry.
   void Put(listed_instance const& aInstance, instant aNow);
 
-  /// Takes an instance off.
+  /// Removes an instance.
   void Remove(instance_id const& aInstance, instant aNow);
 
-  /// The list as it was a lag ago.
+  /// The list as it was at aNow - aLag.
   [[nodiscard]] instance_list Read(instant aNow, duration aLag) const;
 
 private:
@@ -27,7 +28,7 @@
     instance_list mList;
   };
 
-  void Push(instance_list aList, instant aNow);
+  void AddState(instance_list aList, instant aNow);
 
   std::deque<state> mStates{ state{} };
 };
--- a/StandIns/Platform/PendingRead.h
+++ b/StandIns/Platform/PendingRead.h
@@ -7,12 +7,12 @@
 
 namespace lycheeseam::standin {
 
-/// A read that waits for a record.
+/// A long-poll read that waits for a new record.
 struct pending_read
 {
   read_request mRequest;
   responder mResponder;
-  /// Tells reads apart when their wait ends.
+  /// Identifies the read when its wait ends.
   std::uint64_t mNumber = 0;
 };
 
--- a/StandIns/Platform/Platform.cpp
+++ b/StandIns/Platform/Platform.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr char const* kNothing = "{}";
+constexpr char const* kEmptyBody = "{}";
 
 }
 
@@ -23,18 +23,18 @@
     return;
   if (mFaults.mLateAppends > 0) {
     --mFaults.mLateAppends;
-    auto const land = [this, text = std::move(aText)]() {
+    auto const appendLate = [this, text = std::move(aText)]() {
       lock const lateGuard{ mMutex };
-      StoreAndWake(text);
+      AppendAndAnswerReads(text);
     };
-    mTasks.RunAfter(mFaults.mLateBy, land);
-    Answer(aResponder, Code::Gateway_Timeout, kNothing);
+    mTasks.RunAfter(mFaults.mLateBy, appendLate);
+    Answer(aResponder, Code::Gateway_Timeout, kEmptyBody);
     return;
   }
-  append_reply const reply{ .mOffset = StoreAndWake(std::move(aText)) };
+  append_reply const reply{ .mOffset = AppendAndAnswerReads(std::move(aText)) };
   if (mFaults.mLoseAnswers > 0) {
     --mFaults.mLoseAnswers;
-    Answer(aResponder, Code::Gateway_Timeout, kNothing);
+    Answer(aResponder, Code::Gateway_Timeout, kEmptyBody);
     return;
   }
   Answer(aResponder, Code::Ok, ToJsonText(reply));
@@ -70,7 +70,7 @@
   if (RefuseInOutage(aResponder))
     return;
   mList.Put(aInstance, mClock.Now());
-  Answer(aResponder, Code::Ok, kNothing);
+  Answer(aResponder, Code::Ok, kEmptyBody);
 }
 
 void
@@ -81,7 +81,7 @@
   if (RefuseInOutage(aResponder))
     return;
   mList.Remove(aInstance, mClock.Now());
-  Answer(aResponder, Code::Ok, kNothing);
+  Answer(aResponder, Code::Ok, kEmptyBody);
 }
 
 void
@@ -101,10 +101,10 @@
   if (RefuseInOutage(aResponder))
     return;
   if (!mWeights.TryTake(mFaults.mWeightsPerSecond, mClock.Now())) {
-    Answer(aResponder, Code::Too_Many_Requests, kNothing);
+    Answer(aResponder, Code::Too_Many_Requests, kEmptyBody);
     return;
   }
-  auto const send = [aResponder]() { aResponder.Send(Code::Ok, kNothing); };
+  auto const send = [aResponder]() { aResponder.Send(Code::Ok, kEmptyBody); };
   mTasks.RunAfter(mFaults.mWeightsTime, send);
 }
 
@@ -144,12 +144,12 @@
 platform::RefuseInOutage(responder const& aResponder)
 {
   if (mFaults.mOutage)
-    Answer(aResponder, Code::Service_Unavailable, kNothing);
+    Answer(aResponder, Code::Service_Unavailable, kEmptyBody);
   return mFaults.mOutage;
 }
 
 log_offset
-platform::StoreAndWake(std::string aText)
+platform::AppendAndAnswerReads(std::string aText)
 {
   log_offset const offset =
     mLog.Append(std::move(aText), mFaults.mRetentionRecords);
@@ -186,7 +186,7 @@
   auto const expire = [this, aNumber](pending_read& aRead) {
     if (aRead.mNumber != aNumber)
       return false;
-    // Without a wait, a read is always answered.
+    // TryAnswerRead always answers a read that has no time left to wait.
     aRead.mRequest.mMaxWait = {};
     return TryAnswerRead(aRead);
   };
--- a/StandIns/Platform/Platform.h
+++ b/StandIns/Platform/Platform.h
@@ -16,7 +16,8 @@
 
 namespace lycheeseam::standin {
 
-/// The whole platform behind one lock, with its faults.
+/// The stand-in platform: the log, the list of instances and the weight store,
+/// with the faults that tests set. One mutex guards all of it.
 class platform
 {
 public:
@@ -30,10 +31,10 @@
   void ListInstances(responder const& aResponder);
   void FetchWeights(responder const& aResponder);
 
-  /// The faults as they stand.
+  /// The current faults.
   [[nodiscard]] fault_settings Faults() const;
 
-  /// Replaces the faults.
+  /// Replaces the faults; an outage also refuses the reads that wait.
   void SetFaults(fault_settings const& aFaults);
 
 private:
@@ -43,7 +44,7 @@
               Pistache::Http::Code aCode,
               std::string aBody);
   bool RefuseInOutage(responder const& aResponder);
-  log_offset StoreAndWake(std::string aText);
+  log_offset AppendAndAnswerReads(std::string aText);
   bool TryAnswerRead(pending_read const& aRead);
   void ExpireRead(std::uint64_t aNumber);
 
@@ -55,7 +56,7 @@
   weight_store mWeights;
   std::vector<pending_read> mPendingReads;
   std::uint64_t mLastRead = 0;
-  // Last, so that no task runs on members that are gone.
+  // Destroyed first, so that no task uses a destroyed member.
   delayed_tasks mTasks;
 };
 
--- a/StandIns/Platform/PlatformRoutes.cpp
+++ b/StandIns/Platform/PlatformRoutes.cpp
@@ -29,7 +29,7 @@
   std::from_chars_result const parsed =
     std::from_chars(text->data(), end, value);
   if (parsed.ec != std::errc{} || parsed.ptr != end)
-    throw invalid_input(aName + " is no number");
+    throw invalid_input(aName + " is not a number");
   return value;
 }
 
@@ -43,10 +43,10 @@
            .mMaxWait = std::chrono::milliseconds{ waitMs } };
 }
 
-// Turns bad input into a 400 that says what is wrong.
+// Wraps a handler so that invalid_input becomes a 400 with the error's text.
 template<typename Serve>
 auto
-Guarded(Serve aServe)
+WithInputErrors(Serve aServe)
 {
   return
     [aServe](Request const& aRequest, Pistache::Http::ResponseWriter aWriter) {
@@ -66,9 +66,9 @@
 platform_routes::platform_routes(platform& aPlatform)
   : mPlatform(aPlatform)
 {
-  AddLog();
-  AddInstances();
-  AddControl();
+  AddLogRoutes();
+  AddInstanceRoutes();
+  AddControlRoutes();
 }
 
 std::shared_ptr<Pistache::Rest::Private::RouterHandler>
@@ -78,7 +78,7 @@
 }
 
 void
-platform_routes::AddLog()
+platform_routes::AddLogRoutes()
 {
   auto const append = [this](Request const& aRequest,
                              responder const& aAnswer) {
@@ -90,13 +90,13 @@
   auto const offsets = [this](Request const&, responder const& aAnswer) {
     mPlatform.Offsets(aAnswer);
   };
-  routes::Post(mRouter, "/v1/log/records", Guarded(append));
-  routes::Get(mRouter, "/v1/log/records", Guarded(read));
-  routes::Get(mRouter, "/v1/log/offsets", Guarded(offsets));
+  routes::Post(mRouter, "/v1/log/records", WithInputErrors(append));
+  routes::Get(mRouter, "/v1/log/records", WithInputErrors(read));
+  routes::Get(mRouter, "/v1/log/offsets", WithInputErrors(offsets));
 }
 
 void
-platform_routes::AddInstances()
+platform_routes::AddInstanceRoutes()
 {
   auto const list = [this](Request const&, responder const& aAnswer) {
     mPlatform.ListInstances(aAnswer);
@@ -110,13 +110,13 @@
     instance_id const id{ aRequest.param(":id").as<std::string>() };
     mPlatform.RemoveInstance(id, aAnswer);
   };
-  routes::Get(mRouter, "/v1/instances", Guarded(list));
-  routes::Put(mRouter, "/v1/instances/:id", Guarded(put));
-  routes::Delete(mRouter, "/v1/instances/:id", Guarded(remove));
+  routes::Get(mRouter, "/v1/instances", WithInputErrors(list));
+  routes::Put(mRouter, "/v1/instances/:id", WithInputErrors(put));
+  routes::Delete(mRouter, "/v1/instances/:id", WithInputErrors(remove));
 }
 
 void
-platform_routes::AddControl()
+platform_routes::AddControlRoutes()
 {
   auto const weights = [this](Request const&, responder const& aAnswer) {
     mPlatform.FetchWeights(aAnswer);
@@ -129,9 +129,9 @@
     mPlatform.SetFaults(FromJsonText<fault_settings>(aRequest.body()));
     aAnswer.Send(Code::Ok, ToJsonText(mPlatform.Faults()));
   };
-  routes::Get(mRouter, "/v1/weights/:model/:version", Guarded(weights));
-  routes::Get(mRouter, "/control/faults", Guarded(faults));
-  routes::Put(mRouter, "/control/faults", Guarded(setFaults));
+  routes::Get(mRouter, "/v1/weights/:model/:version", WithInputErrors(weights));
+  routes::Get(mRouter, "/control/faults", WithInputErrors(faults));
+  routes::Put(mRouter, "/control/faults", WithInputErrors(setFaults));
 }
 
 }
--- a/StandIns/Platform/PlatformRoutes.h
+++ b/StandIns/Platform/PlatformRoutes.h
@@ -6,13 +6,14 @@
 
 namespace lycheeseam::standin {
 
-/// The platform's HTTP calls and the control calls; docs/PLATFORM-API.md.
+/// The routes of the platform's HTTP API and of its control calls;
+/// docs/PLATFORM-API.md lists them.
 class platform_routes
 {
 public:
   explicit platform_routes(platform& aPlatform);
 
-  /// A handler for an endpoint that serves the calls.
+  /// The handler that an HTTP endpoint serves these routes with.
   [[nodiscard]] std::shared_ptr<Pistache::Rest::Private::RouterHandler>
   Handler() const;
 
@@ -20,9 +21,9 @@
   using request = Pistache::Rest::Request;
   using writer = Pistache::Http::ResponseWriter;
 
-  void AddLog();
-  void AddInstances();
-  void AddControl();
+  void AddLogRoutes();
+  void AddInstanceRoutes();
+  void AddControlRoutes();
 
   platform& mPlatform;
   Pistache::Rest::Router mRouter;
--- a/StandIns/Platform/PlatformServer.h
+++ b/StandIns/Platform/PlatformServer.h
@@ -9,20 +9,21 @@
 
 namespace lycheeseam::standin {
 
-/// A platform that listens on the loopback address while it lives.
+/// A stand-in platform that serves HTTP on the loopback address from
+/// construction to destruction.
 class platform_server
 {
 public:
-  /// Listens on a port; 0 takes any.
+  /// Listens on a port; 0 takes any free port.
   platform_server(std::uint16_t aPort, int aThreads);
   ~platform_server();
   platform_server(platform_server const&) = delete;
   platform_server& operator=(platform_server const&) = delete;
 
-  /// The port that it listens on.
+  /// The port that the server listens on.
   [[nodiscard]] std::uint16_t Port() const;
 
-  /// The platform behind it, for tests that break it.
+  /// The platform that is served, for tests that set faults.
   [[nodiscard]] platform& Served() noexcept { return mPlatform; }
 
 private:
--- a/StandIns/Platform/Responder.h
+++ b/StandIns/Platform/Responder.h
@@ -7,8 +7,8 @@
 
 namespace lycheeseam::standin {
 
-/// Answers one request, from any thread: Pistache queues a whole answer for
-/// the connection's own thread.
+/// Answers one request. Any thread may call it, because Pistache queues a
+/// complete answer for the connection's own thread.
 class responder
 {
 public:
@@ -18,7 +18,7 @@
   {
   }
 
-  /// Sends the answer; a caller that has gone is ignored.
+  /// Sends the answer; does nothing if the caller has disconnected.
   void Send(Pistache::Http::Code aCode, std::string const& aBody) const;
 
 private:
--- a/StandIns/Platform/StoredLog.h
+++ b/StandIns/Platform/StoredLog.h
@@ -10,18 +10,21 @@
 
 namespace lycheeseam::standin {
 
-/// The log itself: opaque texts at offsets from 1 on, the oldest dropped.
+/// The platform's log: opaque texts at offsets from 1 on. The oldest are
+/// dropped beyond the retention.
 class stored_log
 {
 public:
-  /// Adds a record and returns its offset.
+  /// Appends a record, drops the oldest beyond aRetentionRecords, and returns
+  /// the record's offset.
   log_offset Append(std::string aText, std::uint32_t aRetentionRecords);
 
-  /// Up to a number of records from an offset on.
+  /// At most aMaxRecords records from an offset on; none if the offset is
+  /// before the retained range.
   [[nodiscard]] std::vector<raw_record> Read(log_offset aFrom,
                                              std::size_t aMaxRecords) const;
 
-  /// What the log holds now.
+  /// The offsets that the log retains.
   [[nodiscard]] log_range Range() const;
 
 private:
--- a/StandIns/Platform/WeightStore.h
+++ b/StandIns/Platform/WeightStore.h
@@ -6,11 +6,12 @@
 
 namespace lycheeseam::standin {
 
-/// The weight store's limit on its rate.
+/// Limits the rate at which downloads of weights start, per window of one
+/// second.
 class weight_store
 {
 public:
-  /// True when one more download may start now.
+  /// Returns whether one more download may start now, and counts it if so.
   bool TryTake(std::uint32_t aPerSecond, instant aNow);
 
 private:
--- a/StandIns/PlatformProgram/Main.cpp
+++ b/StandIns/PlatformProgram/Main.cpp
@@ -5,12 +5,15 @@
 #include <cstdlib>
 #include <iostream>
 
-DEFINE_uint32(port, 0, "port on 127.0.0.1; 0 takes any and prints it");
+DEFINE_uint32(port,
+              0,
+              "port on 127.0.0.1; 0 takes any free port, which is printed");
 DEFINE_uint32(threads, 2, "worker threads");
 
 namespace {
 
-// Blocked before any thread starts, so that only the wait below takes them.
+// The signals are blocked before any thread starts, so that only sigwait
+// receives them.
 sigset_t
 BlockStopSignals()
 {
@@ -27,7 +30,8 @@
 int
 main(int aCount, char** aArguments)
 {
-  gflags::SetUsageMessage("a small platform for tests: log, list, weights");
+  gflags::SetUsageMessage(
+    "A stand-in for the platform: log, list of instances, weights.");
   gflags::ParseCommandLineFlags(&aCount, &aArguments, true);
   sigset_t const signals = BlockStopSignals();
   lycheeseam::standin::platform_server const server{
