--- a/StandIns/Http/HttpConnection.h
+++ b/StandIns/Http/HttpConnection.h
@@ -11,7 +11,8 @@
 
 namespace lycheeseam::standin {
 
-/// One caller's connection: reads a request, has it answered, reads the next.
+/// A caller's connection: reads a request, passes it to the handler and reads
+/// the next one after the answer.
 template<http_handler Handler>
 class http_connection
   : public std::enable_shared_from_this<http_connection<Handler>>
@@ -37,7 +38,8 @@
     boost::beast::http::async_read(*mSocket, mBuffer, *mParser, onRead);
   }
 
-  /// Resets the connection, as the end of a process with unread input does.
+  /// Resets the connection, as the kernel does when a process ends with unread
+  /// input.
   void Abort()
   {
     boost::system::error_code ignored;
--- a/StandIns/Http/HttpExchange.cpp
+++ b/StandIns/Http/HttpExchange.cpp
@@ -13,7 +13,7 @@
 
 template<typename Message>
 std::string
-WireForm(Message const& aMessage)
+Serialize(Message const& aMessage)
 {
   std::ostringstream text;
   text << aMessage;
@@ -52,8 +52,8 @@
   response.keep_alive(mRequest.keep_alive());
   response.body() = aBody;
   response.prepare_payload();
-  mWaiting += WireForm(response);
-  mEnded = true;
+  mUnsent += Serialize(response);
+  mIsComplete = true;
   WriteMore();
 }
 
@@ -69,7 +69,7 @@
                std::string{ aContentType });
   response.keep_alive(mRequest.keep_alive());
   response.chunked(true);
-  mWaiting += WireForm(response.base());
+  mUnsent += Serialize(response.base());
 }
 
 void
@@ -77,7 +77,7 @@
 {
   if (mFinished || aText.empty())
     return;
-  mWaiting += boost::beast::buffers_to_string(boost::beast::http::make_chunk(
+  mUnsent += boost::beast::buffers_to_string(boost::beast::http::make_chunk(
     boost::asio::const_buffer{ aText.data(), aText.size() }));
   WriteMore();
 }
@@ -85,16 +85,16 @@
 void
 http_exchange::EndStream()
 {
-  mWaiting +=
+  mUnsent +=
     boost::beast::buffers_to_string(boost::beast::http::make_chunk_last());
-  mEnded = true;
+  mIsComplete = true;
   WriteMore();
 }
 
 void
 http_exchange::Close()
 {
-  Lose();
+  Abandon();
 }
 
 void
@@ -110,11 +110,11 @@
     [self = shared_from_this()](boost::system::error_code aError) {
       if (self->mFinished)
         return;
-      // Readable with nothing to read is the end of the caller's stream; bytes
-      // of a next request stay where they are.
+      // A readable socket without bytes means that the caller closed the
+      // connection. The bytes of a next request are left unread here.
       boost::system::error_code ignored;
       if (aError || self->mSocket->available(ignored) == 0)
-        self->Lose();
+        self->Abandon();
     };
   mSocket->async_wait(boost::asio::ip::tcp::socket::wait_read, onReadable);
 }
@@ -122,17 +122,17 @@
 void
 http_exchange::WriteMore()
 {
-  if (mFinished || !mWriting.empty() || mWaiting.empty())
+  if (mFinished || !mWriting.empty() || mUnsent.empty())
     return;
-  mWriting.swap(mWaiting);
+  mWriting.swap(mUnsent);
   auto const onWritten =
     [self = shared_from_this()](boost::system::error_code aError, std::size_t) {
       self->mWriting.clear();
       if (aError)
-        self->Lose();
-      else if (!self->mWaiting.empty())
+        self->Abandon();
+      else if (!self->mUnsent.empty())
         self->WriteMore();
-      else if (self->mEnded)
+      else if (self->mIsComplete)
         self->Finish();
     };
   boost::asio::async_write(*mSocket, boost::asio::buffer(mWriting), onWritten);
@@ -151,7 +151,7 @@
 }
 
 void
-http_exchange::Lose()
+http_exchange::Abandon()
 {
   if (std::exchange(mFinished, true))
     return;
--- a/StandIns/Http/HttpExchange.h
+++ b/StandIns/Http/HttpExchange.h
@@ -10,15 +10,15 @@
 
 namespace lycheeseam::standin {
 
-/// One request and its answer. Lives on the stand-in's only thread.
+/// One request and its answer. Only the stand-in's single thread uses it.
 class http_exchange : public std::enable_shared_from_this<http_exchange>
 {
 public:
   using socket_pointer = std::shared_ptr<boost::asio::ip::tcp::socket>;
   using callback = std::function<void()>;
 
-  /// Takes a request read from a socket; aOnAnswered runs once when the whole
-  /// answer has been written on a connection that may carry the next one.
+  /// Takes a request read from a socket; aOnAnswered runs once when the
+  /// complete answer has been written, if the connection is kept alive.
   http_exchange(socket_pointer aSocket,
                 http_request aRequest,
                 callback aOnAnswered);
@@ -28,45 +28,47 @@
   /// Adds a header to the answer; call before Respond or BeginStream.
   void AddHeader(std::string_view aName, std::string_view aValue);
 
-  /// Answers whole.
+  /// Sends a complete answer.
   void Respond(boost::beast::http::status aStatus,
                std::string_view aBody,
                std::string_view aContentType = "application/json");
 
-  /// Starts an answer of chunks.
+  /// Starts a chunked answer.
   void BeginStream(std::string_view aContentType);
 
-  /// Adds a chunk; writes that wait go out together.
+  /// Adds a chunk; chunks that can't be sent yet are written together later.
   void Write(std::string_view aText);
 
-  /// Ends an answer of chunks.
+  /// Ends a chunked answer.
   void EndStream();
 
-  /// Closes the connection without (the rest of) an answer.
+  /// Closes the connection without an answer or without the rest of it.
   void Close();
 
-  /// Runs once if the caller goes before the answer is complete.
+  /// Sets a callback that runs once if the caller disconnects before the answer
+  /// is complete.
   void OnCallerDisconnected(callback aCallback);
 
-  /// Watches for the caller's going; called by the connection once.
+  /// Starts to watch for the caller's disconnecting; the connection calls it
+  /// once.
   void WatchCaller();
 
-  /// True until the answer is complete or the connection is gone.
+  /// True until the answer is complete or the connection is closed.
   [[nodiscard]] bool IsOpen() const { return !mFinished; }
 
 private:
   void WriteMore();
   void Finish();
-  void Lose();
+  void Abandon();
 
   socket_pointer mSocket;
   http_request mRequest;
   boost::beast::http::fields mHeaders;
   callback mOnAnswered;
   callback mOnCallerDisconnected;
-  std::string mWaiting;
+  std::string mUnsent;
   std::string mWriting;
-  bool mEnded = false;
+  bool mIsComplete = false;
   bool mFinished = false;
 };
 
--- a/StandIns/Http/HttpHandler.h
+++ b/StandIns/Http/HttpHandler.h
@@ -8,8 +8,8 @@
 
 namespace lycheeseam::standin {
 
-/// What answers a stand-in's requests: it gets each request with the number
-/// of POSTs that its connection has carried so far, this one included.
+/// A handler of a stand-in's requests. It gets each request with the number of
+/// POSTs that the connection has carried so far, this one included.
 template<typename Handler>
 concept http_handler = requires(Handler& aHandler,
                                 std::shared_ptr<http_exchange> const& aExchange,
--- a/StandIns/Http/HttpRequest.h
+++ b/StandIns/Http/HttpRequest.h
@@ -8,7 +8,7 @@
 
 namespace lycheeseam::standin {
 
-/// A request as a stand-in reads it: whole, with its body in memory.
+/// A request with its complete body in memory.
 using http_request =
   boost::beast::http::request<boost::beast::http::string_body>;
 
@@ -16,15 +16,15 @@
 inline constexpr std::size_t kMaxStandInBodyBytes =
   std::size_t{ 64 } * 1024 * 1024;
 
-/// The target up to its query.
+/// The request's target without its query.
 std::string_view
 PathOf(http_request const& aRequest);
 
-/// The value of one query parameter as it stands, or empty.
+/// The value of a query parameter, not decoded; empty if it is missing.
 std::string_view
 QueryValue(http_request const& aRequest, std::string_view aName);
 
-/// The value of a header, or empty.
+/// The value of a header; empty if it is missing.
 std::string_view
 HeaderValue(http_request const& aRequest, std::string_view aName);
 
--- a/StandIns/Http/HttpServer.h
+++ b/StandIns/Http/HttpServer.h
@@ -12,7 +12,8 @@
 
 namespace lycheeseam::standin {
 
-/// Accepts connections for a stand-in, all on the io_context's one thread.
+/// Accepts the connections of a stand-in and serves them all on the
+/// io_context's only thread.
 template<http_handler Handler>
 class http_server
 {
@@ -26,7 +27,7 @@
   {
   }
 
-  /// Opens the port and accepts from now on.
+  /// Opens the port and starts to accept connections.
   void Listen()
   {
     mAcceptor.open(mAddress.protocol());
@@ -58,23 +59,23 @@
       if (aError == boost::asio::error::operation_aborted)
         return;
       if (!aError)
-        Adopt(std::move(aSocket));
+        AddConnection(std::move(aSocket));
       Accept();
     };
     mAcceptor.async_accept(onAccept);
   }
 
-  void Adopt(boost::asio::ip::tcp::socket aSocket)
+  void AddConnection(boost::asio::ip::tcp::socket aSocket)
   {
     boost::system::error_code ignored;
     aSocket.set_option(boost::asio::ip::tcp::no_delay{ true }, ignored);
-    std::shared_ptr<connection> const adopted =
+    std::shared_ptr<connection> const added =
       std::make_shared<connection>(std::move(aSocket), mHandler);
     std::erase_if(mConnections, [](std::weak_ptr<connection> const& aWeak) {
       return aWeak.expired();
     });
-    mConnections.push_back(adopted);
-    adopted->Read();
+    mConnections.push_back(added);
+    added->Read();
   }
 
   boost::asio::ip::tcp::acceptor mAcceptor;
--- a/StandIns/Http/RunStandIn.h
+++ b/StandIns/Http/RunStandIn.h
@@ -6,11 +6,11 @@
 
 namespace lycheeseam::standin {
 
-/// A crashed stand-in's exit code.
+/// The exit code of a stand-in that crashes on request.
 inline constexpr int kCrashExitCode = 70;
 
-/// Serves a stand-in's calls on this thread; a crash that the stand-in is told
-/// of resets its connections and ends the process.
+/// Serves a stand-in's calls on this thread. A crash that a control call
+/// requests resets all connections and ends the process.
 template<http_handler Api>
 void
 RunStandIn(boost::asio::io_context& aContext,
