--- a/StandIns/Service/RunCounts.h
+++ b/StandIns/Service/RunCounts.h
@@ -7,17 +7,19 @@
 
 namespace lycheeseam::standin {
 
-/// How often each request with an identity ran.
+/// Counts how often each request ran, by its identity: its Idempotency-Key or
+/// the id in its body.
 class run_counts
 {
 public:
-  /// Notes a run; returns how often this identity has run, this run included.
+  /// Counts a run; returns how often this identity has run, this run included.
   std::uint64_t Add(std::string_view aIdentity)
   {
     return ++mRuns[std::string{ aIdentity }];
   }
 
-  /// Notes a request that still carried a caller's key.
+  /// Counts a request with an Authorization header, which must not reach a
+  /// service.
   void AddAuthorizationHeader() { ++mAuthorizationHeaders; }
 
   [[nodiscard]] std::map<std::string, std::uint64_t> const& Runs() const
--- a/StandIns/Service/ServiceApi.cpp
+++ b/StandIns/Service/ServiceApi.cpp
@@ -13,7 +13,8 @@
 using boost::beast::http::status;
 using nlohmann::json;
 
-/// What a request is counted by: its Idempotency-Key, or its body's id.
+/// The identity that a request is counted by: its Idempotency-Key, or else the
+/// id in its JSON body; empty if it has neither.
 std::string
 Identity(http_request const& aRequest)
 {
@@ -41,9 +42,9 @@
 {
   std::string_view const path = PathOf(aExchange->Request());
   if (path == "/control/counts")
-    TellCounts(aExchange);
+    ReportCounts(aExchange);
   else if (path == "/control")
-    TakeControl(aExchange);
+    HandleControl(aExchange);
   else
     Run(aExchange, aPostsOnConnection);
 }
@@ -62,7 +63,8 @@
   if (isPost && aPostsOnConnection == mCloseAfterPosts)
     return aExchange->Close();
   if (mHang) {
-    // An open exchange holds itself by its watch for the caller's going.
+    // The handler that waits for the caller to disconnect keeps the exchange
+    // alive.
     return;
   }
   RespondLater(aExchange, Echo(request, runs));
@@ -99,7 +101,7 @@
 }
 
 void
-service_api::TellCounts(exchange const& aExchange)
+service_api::ReportCounts(exchange const& aExchange)
 {
   json const counts{ { "runs", mCounts.Runs() },
                      { "authorization_headers",
@@ -108,7 +110,7 @@
 }
 
 void
-service_api::TakeControl(exchange const& aExchange)
+service_api::HandleControl(exchange const& aExchange)
 {
   service_control control;
   try {
--- a/StandIns/Service/ServiceApi.h
+++ b/StandIns/Service/ServiceApi.h
@@ -14,8 +14,9 @@
 
 namespace lycheeseam::standin {
 
-/// Answers a plain service's calls: echoes each request, counts each booking
-/// and transfer. docs/SERVICE-API.md lists what can be set.
+/// Serves the HTTP API of a stand-in service: echoes each request and counts
+/// the runs of each POST with an identity. docs/SERVICE-API.md lists the
+/// control calls. All calls run on the io_context's only thread.
 class service_api
 {
 public:
@@ -23,7 +24,7 @@
 
   service_api(boost::asio::io_context& aContext, backend_server_id aId);
 
-  /// What a crash does; set once before the first request.
+  /// Sets what a crash does; call once before the first request.
   void OnCrash(std::function<void()> aCrash) { mCrash = std::move(aCrash); }
 
   /// Answers one request.
@@ -32,8 +33,8 @@
 private:
   void Run(exchange const& aExchange, std::size_t aPostsOnConnection);
   void RespondLater(exchange const& aExchange, std::string const& aBody);
-  void TellCounts(exchange const& aExchange);
-  void TakeControl(exchange const& aExchange);
+  void ReportCounts(exchange const& aExchange);
+  void HandleControl(exchange const& aExchange);
   [[nodiscard]] std::string Echo(http_request const& aRequest,
                                  std::uint64_t aRuns) const;
 
--- a/StandIns/Service/ServiceControl.h
+++ b/StandIns/Service/ServiceControl.h
@@ -8,24 +8,27 @@
 
 namespace lycheeseam::standin {
 
-/// What a POST to /control sets; what it doesn't name stays as it is.
+/// The faults that a POST to /control sets; fields that the body omits keep
+/// their values.
 struct service_control
 {
-  /// End the process now, connections reset.
+  /// End the process now and reset its connections.
   bool mCrash = false;
-  /// How long each answer is held back.
+  /// The delay before each answer.
   std::optional<std::chrono::milliseconds> mDelay;
-  /// Run requests but never answer them.
+  /// Count requests but never answer them.
   std::optional<bool> mHang;
-  /// Run a request that holds this text, then end; empty for never.
+  /// Count a request whose body contains this text, then crash; empty for
+  /// never.
   std::optional<std::string> mCrashOn;
-  /// Run and close, unanswered, a connection's Nth POST; 0 for never.
+  /// Count a connection's Nth POST, then close the connection without an
+  /// answer; 0 for never.
   std::optional<std::size_t> mCloseAfterPosts;
-  /// Forget all counts.
+  /// Reset all counts.
   bool mResetCounts = false;
 };
 
-/// Reads a control message; throws invalid_input.
+/// Parses the body of a POST to /control; throws invalid_input.
 service_control
 ParseServiceControl(std::string_view aBody);
 
