--- a/StandIns/Engine/AnswerWriter.cpp
+++ b/StandIns/Engine/AnswerWriter.cpp
@@ -10,8 +10,8 @@
 
 using nlohmann::json;
 
-/// Stands for a token's text while the chunk around it is made.
-constexpr std::string_view kTokenPlace = "@TOKEN@";
+/// Marks the token's text while the chunk around it is serialized.
+constexpr std::string_view kTokenPlaceholder = "@TOKEN@";
 
 bool
 IsChat(completion_request const& aRequest)
@@ -73,13 +73,14 @@
   : mRequest(std::move(aRequest))
   , mExchange(std::move(aExchange))
 {
-  // A token's text needs no escapes, so the JSON around it is made once.
+  // A token's text needs no JSON escapes, so the chunk around it is serialized
+  // once.
   json envelope = StreamEnvelope(mRequest);
-  envelope["choices"].push_back(TokenChoice(mRequest, kTokenPlace));
+  envelope["choices"].push_back(TokenChoice(mRequest, kTokenPlaceholder));
   std::string const chunk = Event(envelope);
-  std::size_t const place = chunk.find(kTokenPlace);
-  mBeforeToken = chunk.substr(0, place);
-  mAfterToken = chunk.substr(place + kTokenPlace.size());
+  std::size_t const position = chunk.find(kTokenPlaceholder);
+  mBeforeToken = chunk.substr(0, position);
+  mAfterToken = chunk.substr(position + kTokenPlaceholder.size());
 }
 
 void
@@ -91,14 +92,14 @@
   if (mRequest.mForm == answer_form::Streamed)
     WriteStreamEnd();
   else
-    RespondWhole();
+    RespondComplete();
 }
 
 void
 answer_writer::WriteTokens(token_step const& aStep)
 {
   bool const isStreamed = mRequest.mForm == answer_form::Streamed;
-  if (isStreamed && !std::exchange(mStarted, true))
+  if (isStreamed && !std::exchange(mHasBegun, true))
     mExchange->BeginStream("text/event-stream");
   std::string events;
   for (token_count index = aStep.mFirst; index < aStep.mEnd; ++index) {
@@ -106,7 +107,7 @@
     if (isStreamed)
       events += mBeforeToken + token + mAfterToken;
     else
-      mWhole += token;
+      mText += token;
   }
   mExchange->Write(events);
 }
@@ -125,15 +126,15 @@
 }
 
 void
-answer_writer::RespondWhole()
+answer_writer::RespondComplete()
 {
   json answer = Envelope(
     mRequest, IsChat(mRequest) ? "chat.completion" : "text_completion");
   json choice{ { "index", 0 }, { "finish_reason", "length" } };
   if (IsChat(mRequest))
-    choice["message"] = { { "role", "assistant" }, { "content", mWhole } };
+    choice["message"] = { { "role", "assistant" }, { "content", mText } };
   else
-    choice["text"] = mWhole;
+    choice["text"] = mText;
   answer["choices"].push_back(choice);
   answer["usage"] = Usage(mRequest, mCachedTokens);
   mExchange->Respond(boost::beast::http::status::ok, answer.dump());
--- a/StandIns/Engine/AnswerWriter.h
+++ b/StandIns/Engine/AnswerWriter.h
@@ -9,7 +9,7 @@
 
 namespace lycheeseam::standin {
 
-/// Writes one answer in OpenAI's form, streamed or whole.
+/// Writes one answer in OpenAI's format, as a stream or as one complete body.
 class answer_writer
 {
 public:
@@ -23,25 +23,26 @@
     return mExchange;
   }
 
-  /// Prompt tokens that needn't be computed; told in the usage.
+  /// Sets the prompt tokens found in the cache, which the usage reports.
   void SetCachedTokens(token_count aTokens) { mCachedTokens = aTokens; }
 
-  /// Writes or keeps the tokens of a step; the last one ends the answer.
+  /// Streams the tokens of a step or collects them; the last step ends the
+  /// answer.
   void Write(token_step const& aStep);
 
 private:
   void WriteTokens(token_step const& aStep);
   void WriteStreamEnd();
-  void RespondWhole();
+  void RespondComplete();
 
   completion_request mRequest;
   std::shared_ptr<http_exchange> mExchange;
-  /// What stands before and after a token's text in each chunk.
+  /// The serialized chunk before and after a token's text.
   std::string mBeforeToken;
   std::string mAfterToken;
-  std::string mWhole;
+  std::string mText;
   token_count mCachedTokens = 0;
-  bool mStarted = false;
+  bool mHasBegun = false;
 };
 
 }
--- a/StandIns/Engine/CompletionRequest.cpp
+++ b/StandIns/Engine/CompletionRequest.cpp
@@ -13,10 +13,11 @@
 
 using nlohmann::json;
 
-/// A prompt holds "[name:X]" to have its answer named X.
+/// "[name:X]" in a prompt names the answer X.
 constexpr std::string_view kNameMark = "[name:";
 
-/// Characters of a prompt's digest that name an answer without a mark.
+/// An answer to a prompt without a mark is named by this many characters of the
+/// prompt's digest.
 constexpr std::size_t kDigestNameLength = 8;
 
 std::string
@@ -92,8 +93,8 @@
                       ? ChatPrompt(aBody)
                       : aBody.at("prompt").get<std::string>();
   aResult.mAnswerName = AnswerName(aResult.mPrompt);
-  aResult.mForm =
-    aBody.value("stream", false) ? answer_form::Streamed : answer_form::Whole;
+  aResult.mForm = aBody.value("stream", false) ? answer_form::Streamed
+                                               : answer_form::Complete;
   aResult.mMaxTokens = aBody.value("max_tokens", aResult.mMaxTokens);
   std::string const sent = aBody.value("resume_from", "");
   aResult.mTokensSent = TokensIn(sent, aResult.mAnswerName);
@@ -119,7 +120,7 @@
     throw invalid_input(problem.what());
   }
   if (result.mMaxTokens <= result.mTokensSent)
-    throw invalid_input("max_tokens leaves nothing to answer");
+    throw invalid_input("max_tokens must exceed the tokens in resume_from");
   return result;
 }
 
--- a/StandIns/Engine/CompletionRequest.h
+++ b/StandIns/Engine/CompletionRequest.h
@@ -9,30 +9,31 @@
 
 namespace lycheeseam::standin {
 
-/// Which of OpenAI's calls a request is.
+/// The OpenAI call that a request makes.
 enum class completion_kind
 {
   Chat,
   Text,
 };
 
-/// Whether an answer goes out token by token.
+/// Whether an answer is sent token by token or as one body.
 enum class answer_form
 {
   Streamed,
-  Whole,
+  Complete,
 };
 
-/// A completion request as the engine understands it.
+/// The parsed form of a completion request.
 struct completion_request
 {
   completion_kind mKind = completion_kind::Chat;
-  answer_form mForm = answer_form::Whole;
+  answer_form mForm = answer_form::Complete;
   request_id mId;
   workspace_id mWorkspace;
   model_name mModel;
   std::string mPrompt;
-  /// What each token of the answer carries, so that a crossed answer shows.
+  /// Each token of the answer contains this name, so that tests detect an
+  /// answer that reaches the wrong caller.
   std::string mAnswerName;
   std::int32_t mPriority = 1;
   token_count mMaxTokens = 0;
@@ -40,7 +41,7 @@
   token_count mTokensSent = 0;
 };
 
-/// Reads a request; throws invalid_input if it isn't a completion request or
+/// Parses a request; throws invalid_input if it isn't a completion request or
 /// if its resume_from isn't the beginning of its answer.
 completion_request
 ParseCompletion(http_request const& aRequest, token_count aDefaultMaxTokens);
--- a/StandIns/Engine/EngineApi.cpp
+++ b/StandIns/Engine/EngineApi.cpp
@@ -15,7 +15,7 @@
 using boost::beast::http::status;
 using nlohmann::json;
 
-/// Milliseconds since the epoch: a later start has a larger one.
+/// Milliseconds since the epoch, so that a later start has a larger number.
 incarnation
 NewIncarnation()
 {
@@ -32,7 +32,7 @@
   , mIncarnation(NewIncarnation())
   , mGenerator(aContext, mOptions.mSpeed)
   , mOrderHandler(mOptions.mChecksFencing)
-  , mLoading(aContext)
+  , mLoadTimer(aContext)
 {
   mOrderHandler.Complete(
     engine_order{ .mModel = mOptions.mModel, .mVersion = mOptions.mVersion });
@@ -73,11 +73,11 @@
   if (path == "/v1/chat/completions" || path == "/v1/completions")
     return Complete(aExchange);
   if (path == "/engine/load")
-    return TellLoad(aExchange);
+    return ReportLoad(aExchange);
   if (path == "/engine/events")
-    return TellEvents(aExchange);
+    return ReportEvents(aExchange);
   if (path == "/engine/orders")
-    return TakeOrder(aExchange);
+    return HandleOrder(aExchange);
   if (path == "/engine/cancel")
     return Cancel(aExchange);
   if (path == "/engine/kv/export")
@@ -85,9 +85,9 @@
   if (path == "/engine/kv/import")
     return ImportBlocks(aExchange);
   if (path == "/control/counts")
-    return TellCounts(aExchange);
+    return ReportCounts(aExchange);
   if (path == "/control")
-    return TakeControl(aExchange);
+    return HandleControl(aExchange);
   RespondError(*aExchange, status::not_found, "unknown_path", path);
 }
 
@@ -101,10 +101,11 @@
                        std::to_string(mIncarnation.Value()));
   aExchange->AddHeader("X-Weights-Version", mOrderHandler.Version().Text());
   if (mIsLoading)
-    return RespondError(*aExchange,
-                        status::service_unavailable,
-                        "loading_weights",
-                        "new weights are being loaded; nothing was run");
+    return RespondError(
+      *aExchange,
+      status::service_unavailable,
+      "loading_weights",
+      "new weights are being loaded; the request was not run");
   bool const isAnyModel = mOrderHandler.Model().IsEmpty();
   if (!isAnyModel && request.mModel != mOrderHandler.Model())
     return RespondError(
@@ -121,7 +122,7 @@
 }
 
 void
-engine_api::TakeControl(exchange const& aExchange)
+engine_api::HandleControl(exchange const& aExchange)
 {
   engine_control const control =
     ParseEngineControl(aExchange->Request().body());
@@ -148,7 +149,7 @@
     mGenerator.Events().SetLostEvery(*aControl.mLoseEveryEvent);
   if (aControl.mLoadLag)
     mGenerator.Load().SetLag(*aControl.mLoadLag);
-  // Everything runs on this thread, so that a freeze is a stop of it.
+  // The engine has only this thread, so that blocking it freezes the engine.
   std::this_thread::sleep_for(aControl.mFreeze);
 }
 
--- a/StandIns/Engine/EngineApi.h
+++ b/StandIns/Engine/EngineApi.h
@@ -14,7 +14,8 @@
 
 namespace lycheeseam::standin {
 
-/// Answers an engine's calls; docs/ENGINE-API.md lists them.
+/// Serves the HTTP API of a stand-in engine; docs/ENGINE-API.md lists the
+/// calls. All calls run on the io_context's only thread.
 class engine_api
 {
 public:
@@ -22,7 +23,7 @@
 
   engine_api(boost::asio::io_context& aContext, engine_options aOptions);
 
-  /// What a crash does; set once before the first request.
+  /// Sets what a crash does; call once before the first request.
   void OnCrash(std::function<void()> aCrash) { mCrash = std::move(aCrash); }
 
   /// Answers one request.
@@ -31,22 +32,22 @@
 private:
   void Route(exchange const& aExchange);
   void Complete(exchange const& aExchange);
-  void TellLoad(exchange const& aExchange);
-  void TellEvents(exchange const& aExchange);
-  void TakeOrder(exchange const& aExchange);
-  void CarryOut(engine_order const& aOrder, exchange const& aExchange);
+  void ReportLoad(exchange const& aExchange);
+  void ReportEvents(exchange const& aExchange);
+  void HandleOrder(exchange const& aExchange);
+  void ExecuteOrder(engine_order const& aOrder, exchange const& aExchange);
   void Cancel(exchange const& aExchange);
   void ExportBlocks(exchange const& aExchange);
   void ImportBlocks(exchange const& aExchange);
-  void TellCounts(exchange const& aExchange);
-  void TakeControl(exchange const& aExchange);
+  void ReportCounts(exchange const& aExchange);
+  void HandleControl(exchange const& aExchange);
   void ApplyControl(engine_control const& aControl);
 
   engine_options mOptions;
   incarnation mIncarnation;
   generator mGenerator;
   order_handler mOrderHandler;
-  boost::asio::steady_timer mLoading;
+  boost::asio::steady_timer mLoadTimer;
   bool mIsLoading = false;
   std::string mCrashOn;
   std::size_t mCloseAfterPosts = 0;
--- a/StandIns/Engine/EngineControl.h
+++ b/StandIns/Engine/EngineControl.h
@@ -10,30 +10,31 @@
 
 namespace lycheeseam::standin {
 
-/// What a POST to /control sets; what it doesn't name stays as it is.
+/// The faults that a POST to /control sets; fields that the body omits keep
+/// their values.
 struct engine_control
 {
-  /// End the process now, connections reset.
+  /// End the process now and reset its connections.
   bool mCrash = false;
-  /// Stop for a while without an answer to anything, then go on.
+  /// Block for this long without answering anything, then continue.
   std::chrono::milliseconds mFreeze{ 0 };
-  /// End when a request's body holds this text; empty for never.
+  /// Crash on a request whose body contains this text; empty for never.
   std::optional<std::string> mCrashOn;
-  /// End once this many more tokens have been sent.
+  /// Crash once this many more tokens have been sent.
   std::optional<token_count> mCrashAfterTokens;
-  /// Close, unanswered, a connection that has brought its Nth POST; 0: never.
+  /// Close a connection at its Nth POST without an answer; 0 for never.
   std::optional<std::size_t> mCloseAfterPosts;
   /// Multiplies the time of steps and prefills.
   std::optional<double> mSlowness;
-  /// How late cache events are told.
+  /// The delay before a cache event becomes visible.
   std::optional<std::chrono::milliseconds> mEventDelay;
-  /// Every Nth cache event is lost; 0 for none.
+  /// Drop every Nth cache event; 0 for none.
   std::optional<std::uint64_t> mLoseEveryEvent;
-  /// How old a load report is.
+  /// The age of the values in load reports.
   std::optional<std::chrono::milliseconds> mLoadLag;
 };
 
-/// Reads a control message; throws invalid_input.
+/// Parses the body of a POST to /control; throws invalid_input.
 engine_control
 ParseEngineControl(std::string_view aBody);
 
--- a/StandIns/Engine/EngineCounts.h
+++ b/StandIns/Engine/EngineCounts.h
@@ -8,14 +8,14 @@
 
 namespace lycheeseam::standin {
 
-/// What a stand-in engine has seen since its start, for tests to ask.
+/// Counters of a stand-in engine since its start, which tests read.
 struct engine_counts
 {
-  /// Completion requests run, by the name of their answer.
+  /// Completion requests run, by the name of the answer.
   std::map<std::string, std::uint64_t> mRuns;
   std::uint64_t mFinished = 0;
   std::uint64_t mCancelled = 0;
-  /// Requests that still carried a caller's key.
+  /// Requests with an Authorization header, which must not reach an engine.
   std::uint64_t mAuthorizationHeaders = 0;
   token_count mPromptTokens = 0;
   token_count mCachedTokens = 0;
--- a/StandIns/Engine/EngineJson.cpp
+++ b/StandIns/Engine/EngineJson.cpp
@@ -51,7 +51,7 @@
     return engine_order_kind::UnloadAdapter;
   if (aName == "set_role")
     return engine_order_kind::SetRole;
-  throw invalid_input("unknown order");
+  throw invalid_input("order names no known kind");
 }
 
 }
@@ -76,7 +76,8 @@
     std::from_chars_result const parsed =
       std::from_chars(text.data(), end, value, kHexBase);
     if (parsed.ec != std::errc{} || parsed.ptr != end)
-      throw invalid_input("a block is a hexadecimal number");
+      throw invalid_input(
+        "blocks holds an item that is not a hexadecimal number");
     blocks.emplace_back(value);
   }
   return blocks;
--- a/StandIns/Engine/EngineJson.h
+++ b/StandIns/Engine/EngineJson.h
@@ -11,7 +11,7 @@
 #include <string_view>
 #include <vector>
 
-/// \file The JSON forms of what an engine tells and takes.
+/// \file The JSON forms of an engine's reports and orders.
 
 namespace lycheeseam::standin {
 
@@ -19,7 +19,7 @@
 nlohmann::json
 BlocksToJson(std::span<block_hash const> aBlocks);
 
-/// Reads what BlocksToJson writes; throws invalid_input.
+/// Parses the form that BlocksToJson writes; throws invalid_input.
 std::vector<block_hash>
 BlocksFromJson(nlohmann::json const& aBlocks);
 
@@ -32,7 +32,7 @@
 nlohmann::json
 LoadToJson(engine_load const& aLoad);
 
-/// Reads an order; throws invalid_input.
+/// Parses an order; throws invalid_input.
 engine_order
 ParseOrder(std::string_view aBody);
 
--- a/StandIns/Engine/EngineOptions.h
+++ b/StandIns/Engine/EngineOptions.h
@@ -8,19 +8,19 @@
 
 namespace lycheeseam::standin {
 
-/// A stand-in engine's command line.
+/// The command-line options of a stand-in engine.
 struct engine_options
 {
   backend_server_id mId;
   engine_settings mSpeed;
-  /// The model held at the start; empty answers for any model.
+  /// The model loaded at the start; if empty, the engine answers for any model.
   model_name mModel;
   weights_version mVersion;
-  /// Whether orders with an old fencing number are refused.
+  /// Whether orders with an outdated fencing number are refused.
   bool mChecksFencing = true;
-  /// How long new weights take.
+  /// How long loading new weights takes.
   std::chrono::milliseconds mWeightLoadTime{ 400 };
-  /// The answer's length where a request doesn't say.
+  /// The length of an answer to a request without max_tokens.
   token_count mDefaultMaxTokens = 64;
 };
 
--- a/StandIns/Engine/EngineOrders.cpp
+++ b/StandIns/Engine/EngineOrders.cpp
@@ -8,7 +8,7 @@
 using nlohmann::json;
 
 void
-engine_api::TakeOrder(exchange const& aExchange)
+engine_api::HandleOrder(exchange const& aExchange)
 {
   engine_order const order = ParseOrder(aExchange->Request().body());
   if (mOrderHandler.Check(order) == order_answer::StaleFencing) {
@@ -18,23 +18,25 @@
     return;
   }
   if (order.mKind != engine_order_kind::LoadWeights)
-    return CarryOut(order, aExchange);
+    return ExecuteOrder(order, aExchange);
   mIsLoading = true;
-  mLoading.expires_after(mOptions.mWeightLoadTime);
-  mLoading.async_wait(
+  mLoadTimer.expires_after(mOptions.mWeightLoadTime);
+  mLoadTimer.async_wait(
     [this, order, aExchange](boost::system::error_code aError) {
-      // A later load has taken this one's place.
+      // A later order restarted the timer, which cancels this wait.
       if (aError)
-        return RespondError(
-          *aExchange, status::conflict, "superseded", "a newer load began");
+        return RespondError(*aExchange,
+                            status::conflict,
+                            "superseded",
+                            "a newer load order replaced this one");
       mIsLoading = false;
       mGenerator.ClearCache();
-      CarryOut(order, aExchange);
+      ExecuteOrder(order, aExchange);
     });
 }
 
 void
-engine_api::CarryOut(engine_order const& aOrder, exchange const& aExchange)
+engine_api::ExecuteOrder(engine_order const& aOrder, exchange const& aExchange)
 {
   mOrderHandler.Complete(aOrder);
   if (aOrder.mKind == engine_order_kind::UnloadWeights)
@@ -69,7 +71,7 @@
     return RespondError(*aExchange,
                         status::conflict,
                         "other_weights",
-                        "the blocks belong to other weights");
+                        "version is not the version of the loaded weights");
   mGenerator.Import(BlocksFromJson(body.at("blocks")));
   RespondOk(*aExchange, { { "incarnation", mIncarnation.Value() } });
 }
--- a/StandIns/Engine/EngineReports.cpp
+++ b/StandIns/Engine/EngineReports.cpp
@@ -21,7 +21,7 @@
 }
 
 void
-engine_api::TellLoad(exchange const& aExchange)
+engine_api::ReportLoad(exchange const& aExchange)
 {
   json load = LoadToJson(mGenerator.Load().Read(system_clock{}.Now()));
   load["id"] = mOptions.mId.Text();
@@ -39,7 +39,7 @@
 }
 
 void
-engine_api::TellEvents(exchange const& aExchange)
+engine_api::ReportEvents(exchange const& aExchange)
 {
   event_sequence const from{ NumberIn(
     QueryValue(aExchange->Request(), "from")) };
@@ -54,7 +54,7 @@
 }
 
 void
-engine_api::TellCounts(exchange const& aExchange)
+engine_api::ReportCounts(exchange const& aExchange)
 {
   json counts = CountsToJson(mGenerator.Counts());
   counts["stale_orders_accepted"] = mOrderHandler.StaleAccepted();
--- a/StandIns/Engine/Generator.cpp
+++ b/StandIns/Engine/Generator.cpp
@@ -24,7 +24,7 @@
   ++mCounts.mRuns[aRequest.mAnswerName];
   mCounts.mPromptTokens += TokensOf(aRequest.mPrompt);
   mAnswers.emplace(id, answer_writer{ aRequest, aExchange });
-  aExchange->OnCallerDisconnected([this, id]() { Forget(id); });
+  aExchange->OnCallerDisconnected([this, id]() { CancelSequence(id); });
   mBatch.Add(sequence{
     .mId = id,
     .mPriority = aRequest.mPriority,
@@ -46,7 +46,7 @@
   }
   for (sequence_id const id : cancelled) {
     std::shared_ptr<http_exchange> const exchange = mAnswers.at(id).Exchange();
-    Forget(id);
+    CancelSequence(id);
     exchange->Close();
   }
   return !cancelled.empty();
@@ -85,7 +85,7 @@
   for (token_step const& step : mBatch.Advance(mClock.Now(), lookup))
     Deliver(step);
   RecordLoad();
-  Arm();
+  ArmTimer();
 }
 
 token_count
@@ -123,7 +123,7 @@
 }
 
 void
-generator::Forget(sequence_id aId)
+generator::CancelSequence(sequence_id aId)
 {
   mBatch.Cancel(aId);
   if (mAnswers.erase(aId) == 0)
@@ -142,7 +142,7 @@
 }
 
 void
-generator::Arm()
+generator::ArmTimer()
 {
   std::optional<instant> const wake = mBatch.NextWake();
   if (!wake)
--- a/StandIns/Engine/Generator.h
+++ b/StandIns/Engine/Generator.h
@@ -17,15 +17,15 @@
 
 namespace lycheeseam::standin {
 
-/// Produces answers: the batch and the prefix cache, driven by one timer that
-/// is armed only while something is to be produced.
+/// Produces answers with the batch and the prefix cache. One timer drives them,
+/// which is armed only while the batch has work.
 class generator
 {
 public:
   generator(boost::asio::io_context& aContext,
             engine_settings const& aSettings);
 
-  /// Starts an answer; the caller's going cancels it.
+  /// Starts an answer; it is cancelled if the caller disconnects.
   void Start(completion_request const& aRequest,
              weights_version const& aVersion,
              std::shared_ptr<http_exchange> const& aExchange);
@@ -33,10 +33,10 @@
   /// Cancels the answers to a request; returns whether there were any.
   bool Cancel(request_id const& aId);
 
-  /// Drops all cached blocks and tells so in the events.
+  /// Drops all cached blocks and records a cache event.
   void ClearCache();
 
-  /// Calls back once so many more tokens have been sent.
+  /// Calls back once, when aTokens more tokens have been sent.
   void OnTokensSent(token_count aTokens, std::function<void()> aCallback);
 
   prefix_cache& Cache() { return mCache; }
@@ -45,7 +45,7 @@
   lagged<engine_load>& Load() { return mLoad; }
   engine_counts& Counts() { return mCounts; }
 
-  /// Stores blocks that weren't computed here and tells so in the events.
+  /// Adds blocks to the cache and records the cache events.
   void Import(std::span<block_hash const> aBlocks);
 
 private:
@@ -53,9 +53,9 @@
   token_count UncachedTokens(sequence const& aSequence);
   void Deliver(token_step const& aStep);
   void CountSent(token_count aTokens);
-  void Forget(sequence_id aId);
+  void CancelSequence(sequence_id aId);
   void RecordLoad();
-  void Arm();
+  void ArmTimer();
 
   system_clock mClock;
   boost::asio::steady_timer mTimer;
--- a/StandIns/Engine/Main.cpp
+++ b/StandIns/Engine/Main.cpp
@@ -7,16 +7,32 @@
 DEFINE_string(address, "127.0.0.1", "IP number to listen on");
 DEFINE_uint32(port, 9001, "TCP port to listen on");
 DEFINE_string(id, "engine-1", "this engine's id");
-DEFINE_string(model, "", "model held at the start; empty answers for any");
-DEFINE_string(weights_version, "v1", "version of the weights held");
-DEFINE_double(tokens_per_second, 50, "rate of a stream that is alone");
-DEFINE_double(slowdown_per_stream, 0.02, "step time added by each stream");
-DEFINE_double(prefill_tokens_per_second, 20000, "uncached prompt tokens");
-DEFINE_uint32(max_batch, 64, "streams that decode together");
-DEFINE_uint32(cache_blocks, 4096, "blocks in the prefix cache");
-DEFINE_uint32(default_max_tokens, 64, "answer length if a request has none");
-DEFINE_uint32(weight_load_ms, 400, "how long new weights take");
-DEFINE_bool(check_fencing, true, "refuse orders with an old fencing number");
+DEFINE_string(model,
+              "",
+              "model loaded at the start; if empty, answers for any");
+DEFINE_string(weights_version,
+              "v1",
+              "version of the weights loaded at the start");
+DEFINE_double(tokens_per_second,
+              50,
+              "tokens per second of a stream that runs alone");
+DEFINE_double(slowdown_per_stream,
+              0.02,
+              "fraction of a step's time that each further stream adds");
+DEFINE_double(prefill_tokens_per_second,
+              20000,
+              "uncached prompt tokens computed per second");
+DEFINE_uint32(max_batch, 64, "the most streams that decode together");
+DEFINE_uint32(cache_blocks, 4096, "capacity of the prefix cache in blocks");
+DEFINE_uint32(default_max_tokens,
+              64,
+              "answer length in tokens if a request has no max_tokens");
+DEFINE_uint32(weight_load_ms,
+              400,
+              "how long loading new weights takes, in milliseconds");
+DEFINE_bool(check_fencing,
+            true,
+            "refuse orders with an outdated fencing number");
 
 namespace lycheeseam::standin {
 namespace {
--- a/StandIns/Engine/RespondJson.h
+++ b/StandIns/Engine/RespondJson.h
@@ -7,14 +7,15 @@
 
 namespace lycheeseam::standin {
 
-/// Answers with a status and an error's code and message.
+/// Answers with a status and a JSON body that holds an error code and a
+/// message.
 void
 RespondError(http_exchange& aExchange,
              boost::beast::http::status aStatus,
              std::string_view aCode,
              std::string_view aMessage);
 
-/// Answers 200 with a body.
+/// Answers 200 with a JSON body.
 void
 RespondOk(http_exchange& aExchange, nlohmann::json const& aBody);
 
