--- a/Bench/Support/Percentile.h
+++ b/Bench/Support/Percentile.h
@@ -4,7 +4,7 @@
 
 namespace lycheeseam::bench {
 
-/// The value that a part of all (from 0 to 1) doesn't exceed; 0 without any.
+/// The percentile of aValues at aPart, from 0 to 1; 0 if there are no values.
 double
 Percentile(std::vector<double> aValues, double aPart);
 
--- a/Bench/Support/Scheduler.h
+++ b/Bench/Support/Scheduler.h
@@ -9,7 +9,8 @@
 
 namespace lycheeseam::bench {
 
-/// Runs actions in the order of virtual time; equal times in order of adding.
+/// Runs actions in the order of virtual time. Actions of the same time run in
+/// the order in which they were added.
 class scheduler
 {
 public:
@@ -17,14 +18,16 @@
 
   [[nodiscard]] instant Now() const { return mNow; }
 
+  /// Adds an action that runs at a time, or now if that has passed.
   void At(instant aTime, action aAction);
 
-  void After(duration aSpan, action aAction)
+  /// Adds an action that runs after a delay.
+  void After(duration aDelay, action aAction)
   {
-    At(mNow + aSpan, std::move(aAction));
+    At(mNow + aDelay, std::move(aAction));
   }
 
-  /// Runs all that is due up to a time.
+  /// Runs the actions due up to aEnd and sets the time to it.
   void RunUntil(instant aEnd);
 
 private:
