--- a/Bench/Slopes/BlockMapSlope.cpp
+++ b/Bench/Slopes/BlockMapSlope.cpp
@@ -35,7 +35,8 @@
   return servers;
 }
 
-/// The blocks of one prompt of many; the constant spreads them evenly.
+/// The blocks of prompt number aPrompt. The constant, 2^64 divided by the
+/// golden ratio, spreads the hashes evenly.
 std::vector<block_hash>
 PromptBlocks(std::size_t aPrompt)
 {
@@ -47,7 +48,7 @@
   return blocks;
 }
 
-/// Fills a shard with prompts that a few servers each hold.
+/// Fills a shard with prompts that are each held by a few servers.
 void
 Fill(block_shard& aShard,
      std::size_t aEntries,
@@ -88,7 +89,8 @@
     static_cast<double>(batches.size() * kPromptBlocks));
 }
 
-/// aPrompts is at least one.
+/// Nanoseconds per lookup; -1 if no lookup found a holder. aPrompts is at least
+/// one.
 double
 TimeLookups(block_shard const& aShard,
             std::size_t aPrompts,
--- a/Bench/Slopes/ChoiceSlope.cpp
+++ b/Bench/Slopes/ChoiceSlope.cpp
@@ -10,7 +10,8 @@
 
 namespace {
 
-/// Up to all of a model's servers when 4,600 hold 17 models.
+/// The largest size is the servers of one model when 4,600 servers hold 17
+/// models.
 constexpr std::array kServers{ std::size_t{ 12 },
                                std::size_t{ 90 },
                                std::size_t{ 270 } };
--- a/Bench/Slopes/FairQueueSlope.cpp
+++ b/Bench/Slopes/FairQueueSlope.cpp
@@ -17,7 +17,7 @@
 constexpr std::array kWorkspaces{ std::size_t{ 5 },
                                   std::size_t{ 50 },
                                   std::size_t{ 470 } };
-/// Requests that wait all the time.
+/// The length at which the queue is kept.
 constexpr std::size_t kWaiting = 1000;
 constexpr std::size_t kRequests = 100'000;
 
--- a/Bench/Slopes/Main.cpp
+++ b/Bench/Slopes/Main.cpp
@@ -6,7 +6,8 @@
 #include <filesystem>
 #include <fstream>
 
-/// \file Measures what placement and admission cost as they grow.
+/// \file Measures the processor time and the memory of placement and
+/// admission at growing sizes.
 
 DEFINE_string(results, "Results", "the folder that JSON is written to");
 
--- a/Bench/Slopes/ProcessorTimer.h
+++ b/Bench/Slopes/ProcessorTimer.h
@@ -4,12 +4,12 @@
 
 namespace lycheeseam::bench {
 
-/// Processor time of this process since the timer was made; time that other
-/// processes take doesn't count.
+/// Measures the processor time that this process has used since the timer's
+/// construction. The load of other processes doesn't change it.
 class processor_timer
 {
 public:
-  /// Nanoseconds for each of a number of operations.
+  /// The processor time per operation, in nanoseconds.
   [[nodiscard]] double NanosecondsEach(double aOperations) const
   {
     double const seconds =
--- a/Bench/Slopes/SlopeResult.h
+++ b/Bench/Slopes/SlopeResult.h
@@ -5,16 +5,16 @@
 
 namespace lycheeseam::bench {
 
-/// What one operation costs at one size.
+/// The cost of one operation at one size.
 struct slope_result
 {
   std::string mOperation;
-  /// What the size counts, such as "entries".
+  /// The unit of mSize, such as "entries".
   std::string mUnit;
   std::size_t mSize = 0;
-  /// Processor time of one operation.
+  /// Processor time of one operation, in nanoseconds.
   double mNanoseconds = 0;
-  /// Memory held at that size.
+  /// Memory used at that size, in bytes.
   double mBytes = 0;
 };
 
--- a/Bench/Slopes/Slopes.h
+++ b/Bench/Slopes/Slopes.h
@@ -6,15 +6,18 @@
 
 namespace lycheeseam::bench {
 
-/// The full policy's choice over a growing number of backend servers.
+/// Measures the prefix-cost policy's choice with a growing number of backend
+/// servers.
 std::vector<slope_result>
 MeasureChoice();
 
-/// Events, updates and lookups in a map with a growing number of entries.
+/// Measures events, updates and lookups in a block map with a growing number of
+/// entries.
 std::vector<slope_result>
 MeasureBlockMap();
 
-/// A request's way through a fair queue with a growing number of workspaces.
+/// Measures enqueuing and admitting a request in a fair queue with a growing
+/// number of workspaces.
 std::vector<slope_result>
 MeasureFairQueue();
 
