--- a/Bench/Services/Main.cpp
+++ b/Bench/Services/Main.cpp
@@ -17,19 +17,19 @@
 
 using namespace std::chrono_literals;
 
-/// More retries than any run asks for.
-constexpr double kNoBound = 1000.0;
+/// More retries per request than any run needs.
+constexpr double kUnlimitedRetries = 1000.0;
 
 std::array const kRuns{
   service_options{ .mName = "pauses, no hedge", .mPause = 1s },
   service_options{ .mName = "pauses, hedge after 60 ms",
                    .mPause = 1s,
                    .mHedgeAfter = 60ms,
-                   .mBudget = kNoBound },
+                   .mBudget = kUnlimitedRetries },
   service_options{ .mName = "pauses, hedge after 100 ms",
                    .mPause = 1s,
                    .mHedgeAfter = 100ms,
-                   .mBudget = kNoBound },
+                   .mBudget = kUnlimitedRetries },
   service_options{ .mName = "pauses, hedge after 100 ms, budget 10%",
                    .mPause = 1s,
                    .mHedgeAfter = 100ms },
@@ -39,7 +39,7 @@
   service_options{ .mName = "surge, three attempts",
                    .mTimeout = 200ms,
                    .mMaxAttempts = 3,
-                   .mBudget = kNoBound,
+                   .mBudget = kUnlimitedRetries,
                    .mSurge = 2.5 },
   service_options{ .mName = "surge, three attempts, budget 10%",
                    .mTimeout = 200ms,
--- a/Bench/Services/ServiceOptions.h
+++ b/Bench/Services/ServiceOptions.h
@@ -9,25 +9,26 @@
 
 namespace lycheeseam::bench {
 
-/// One run of idempotent lookups against a pool of plain services.
+/// The parameters of one run of idempotent lookups against a pool of services.
 struct service_options
 {
   std::string mName;
   std::size_t mServers = 4;
-  /// Requests that a server works on at once.
-  std::size_t mLanes = 4;
+  /// Requests that a server serves at the same time.
+  std::size_t mConcurrency = 4;
   duration mMeanService = std::chrono::milliseconds{ 20 };
+  /// Requests per second.
   double mArrivalRate = 400;
-  /// A server answers nothing for this long, every ten seconds in turn.
+  /// Every ten seconds the next server pauses for this long; zero for never.
   duration mPause{};
-  /// When a second copy is sent; zero for never.
+  /// How long after the first attempt a hedge is sent; zero for never.
   duration mHedgeAfter{};
-  /// When an attempt is given up; zero for never.
+  /// The time limit of an attempt; zero for none.
   duration mTimeout{};
   std::uint32_t mMaxAttempts = 1;
-  /// Retries and hedges earned by each request.
+  /// Retries and hedges that the retry budget earns per request.
   double mBudget = 0.1;
-  /// How many times the rate arrives from the 20th to the 30th second.
+  /// The factor on the arrival rate from the 20th to the 30th second.
   double mSurge = 1.0;
   std::uint64_t mSeed = 1;
   duration mLength = std::chrono::seconds{ 90 };
--- a/Bench/Services/ServiceResult.h
+++ b/Bench/Services/ServiceResult.h
@@ -4,18 +4,18 @@
 
 namespace lycheeseam::bench {
 
-/// The measures of one run.
+/// The measured results of one run.
 struct service_result
 {
   std::string mName;
   double mP50Milliseconds = 0;
   double mP99Milliseconds = 0;
   double mP999Milliseconds = 0;
-  /// Attempts sent for each request.
+  /// Attempts sent per request.
   double mAttemptsPerRequest = 0;
-  /// Requests without an answer, in 100.
+  /// Requests without an answer, in percent.
   double mFailedPercent = 0;
-  /// The same for those that arrive more than 20 s after the surge.
+  /// The same for requests that arrive more than 20 s after the surge.
   double mFailedLatePercent = 0;
 };
 
--- a/Bench/Services/ServiceSimulation.cpp
+++ b/Bench/Services/ServiceSimulation.cpp
@@ -11,8 +11,8 @@
 
 constexpr instant kSurgeStart = instant{} + 20s;
 constexpr instant kSurgeEnd = instant{} + 30s;
-constexpr instant kLate = kSurgeEnd + 20s;
-constexpr duration kPauseEvery = 10s;
+constexpr instant kLateFrom = kSurgeEnd + 20s;
+constexpr duration kPauseInterval = 10s;
 
 duration
 Seconds(double aSeconds)
@@ -37,7 +37,7 @@
   ScheduleArrivals();
   SchedulePauses();
   mScheduler.RunUntil(instant{} + mOptions.mLength + 10s);
-  return Conclude();
+  return Summarize();
 }
 
 void
@@ -60,14 +60,15 @@
 {
   if (mOptions.mPause == duration{})
     return;
-  std::size_t turn = 0;
-  for (instant at = instant{} + kPauseEvery; at < instant{} + mOptions.mLength;
-       at += kPauseEvery) {
-    std::size_t const hit = turn++ % mServers.size();
-    mScheduler.At(at, [this, hit]() { mServers[hit].mIsPaused = true; });
-    mScheduler.At(at + mOptions.mPause, [this, hit]() {
-      mServers[hit].mIsPaused = false;
-      Work(hit);
+  std::size_t pauses = 0;
+  for (instant at = instant{} + kPauseInterval;
+       at < instant{} + mOptions.mLength;
+       at += kPauseInterval) {
+    std::size_t const paused = pauses++ % mServers.size();
+    mScheduler.At(at, [this, paused]() { mServers[paused].mIsPaused = true; });
+    mScheduler.At(at + mOptions.mPause, [this, paused]() {
+      mServers[paused].mIsPaused = false;
+      ServeWaiting(paused);
     });
   }
 }
@@ -89,9 +90,9 @@
   std::size_t const picked = PickServer(wanted);
   wanted.mLastServer = picked;
   std::uint32_t const attempt = ++wanted.mAttempts;
-  mServers[picked].mWaiting.push_back(aLookup);
+  mServers[picked].mQueue.push_back(aLookup);
   ++mServers[picked].mOutstanding;
-  Work(picked);
+  ServeWaiting(picked);
   if (mOptions.mTimeout > duration{})
     mScheduler.After(mOptions.mTimeout, [this, aLookup, attempt]() {
       OnTimeout(aLookup, attempt);
@@ -119,37 +120,38 @@
 }
 
 void
-service_simulation::Work(std::size_t aServer)
+service_simulation::ServeWaiting(std::size_t aServer)
 {
   server& host = mServers[aServer];
-  while (!host.mIsPaused && host.mBusy < mOptions.mLanes &&
-         !host.mWaiting.empty()) {
-    std::size_t const next = host.mWaiting.front();
-    host.mWaiting.pop_front();
+  while (!host.mIsPaused && host.mBusy < mOptions.mConcurrency &&
+         !host.mQueue.empty()) {
+    std::size_t const next = host.mQueue.front();
+    host.mQueue.pop_front();
     ++host.mBusy;
     double const mean =
       std::chrono::duration<double>(mOptions.mMeanService).count();
     mScheduler.After(
       Seconds(std::exponential_distribution<double>{ 1.0 / mean }(mRandom)),
-      [this, aServer, next]() { OnDone(aServer, next); });
+      [this, aServer, next]() { OnServed(aServer, next); });
   }
 }
 
 void
-service_simulation::OnDone(std::size_t aServer, std::size_t aLookup)
+service_simulation::OnServed(std::size_t aServer, std::size_t aLookup)
 {
   server& host = mServers[aServer];
   --host.mBusy;
   --host.mOutstanding;
   lookup& wanted = mLookups[aLookup];
-  // What was given up was worked on for nothing.
+  // A server also serves lookups whose caller has given up; their answers are
+  // ignored.
   if (!wanted.mIsAnswered && !wanted.mIsGivenUp) {
     wanted.mIsAnswered = true;
     wanted.mMilliseconds = std::chrono::duration<double, std::milli>(
                              mScheduler.Now() - wanted.mArrivedAt)
                              .count();
   }
-  Work(aServer);
+  ServeWaiting(aServer);
 }
 
 std::size_t
@@ -157,7 +159,7 @@
 {
   std::size_t best = mServers.size();
   for (std::size_t index = 0; index < mServers.size(); ++index) {
-    // Another attempt goes to another server.
+    // A further attempt goes to another server than the last.
     if (aLookup.mAttempts > 0 && index == aLookup.mLastServer)
       continue;
     if (best == mServers.size() ||
@@ -168,7 +170,7 @@
 }
 
 service_result
-service_simulation::Conclude() const
+service_simulation::Summarize() const
 {
   std::vector<double> answered;
   double attempts = 0;
@@ -181,7 +183,7 @@
       answered.push_back(each.mMilliseconds);
     else
       ++failed;
-    if (each.mArrivedAt < kLate)
+    if (each.mArrivedAt < kLateFrom)
       continue;
     ++late;
     failedLate += each.mIsAnswered ? 0 : 1;
--- a/Bench/Services/ServiceSimulation.h
+++ b/Bench/Services/ServiceSimulation.h
@@ -12,13 +12,14 @@
 
 namespace lycheeseam::bench {
 
-/// Lookups, with hedges and retries, against fake services in virtual time.
+/// Simulates lookups with hedges and retries against a pool of services, in
+/// virtual time.
 class service_simulation
 {
 public:
   explicit service_simulation(service_options aOptions);
 
-  /// Runs to the end; once only.
+  /// Runs the simulation to its end; call it only once.
   service_result Run();
 
 private:
@@ -34,7 +35,7 @@
 
   struct server
   {
-    std::deque<std::size_t> mWaiting;
+    std::deque<std::size_t> mQueue;
     std::size_t mBusy = 0;
     std::size_t mOutstanding = 0;
     bool mIsPaused = false;
@@ -46,10 +47,10 @@
   void Send(std::size_t aLookup);
   void OnHedge(std::size_t aLookup);
   void OnTimeout(std::size_t aLookup, std::uint32_t aAttempt);
-  void Work(std::size_t aServer);
-  void OnDone(std::size_t aServer, std::size_t aLookup);
+  void ServeWaiting(std::size_t aServer);
+  void OnServed(std::size_t aServer, std::size_t aLookup);
   [[nodiscard]] std::size_t PickServer(lookup const& aLookup) const;
-  [[nodiscard]] service_result Conclude() const;
+  [[nodiscard]] service_result Summarize() const;
 
   service_options mOptions;
   std::mt19937_64 mRandom;
