--- a/Bench/Peers/Main.cpp
+++ b/Bench/Peers/Main.cpp
@@ -10,8 +10,8 @@
 #include <fstream>
 #include <iostream>
 
-/// \file bench-peers: measures the links between instances; prints a table and
-/// writes it as JSON.
+/// \file bench-peers: measures the links between instances; prints a table
+/// and writes the results as JSON.
 
 DEFINE_string(results, "Results", "the folder that JSON is written to");
 
--- a/Bench/Peers/MakeRecords.cpp
+++ b/Bench/Peers/MakeRecords.cpp
@@ -21,7 +21,7 @@
   return std::max<std::size_t>(aAll * aPercent / 100, 1);
 }
 
-// Appends one proposal for each row, as operators' changes come.
+// Appends one proposal per row, as an operator's single changes do.
 class record_writer
 {
 public:
--- a/Bench/Peers/MeasureLinks.cpp
+++ b/Bench/Peers/MeasureLinks.cpp
@@ -13,8 +13,8 @@
 
 namespace {
 
-constexpr std::chrono::milliseconds kInterval{ 50 };
-constexpr std::chrono::seconds kSpan{ 2 };
+constexpr std::chrono::milliseconds kHeartbeatInterval{ 50 };
+constexpr std::chrono::seconds kMeasuredTime{ 2 };
 
 peer_heartbeat
 MakeHeartbeat(std::size_t aDomains)
@@ -31,7 +31,7 @@
   return beat;
 }
 
-// A hub on loopback that ignores what it hears.
+// A peer hub on the loopback address that ignores all messages.
 class bench_peer
 {
 public:
@@ -44,7 +44,8 @@
         Hello(aName),
         *this,
         [](instant aNow) {
-          fixed_heartbeat_options const options{ .mInterval = kInterval };
+          fixed_heartbeat_options const options{ .mInterval =
+                                                   kHeartbeatInterval };
           return fixed_heartbeat_supervisor{ options, aNow };
         },
         []() { return MakeHeartbeat(12); },
@@ -88,13 +89,13 @@
   std::uint64_t const framesBefore =
     centre.mHub.Counters().mFramesSent + centre.mHub.Counters().mFramesReceived;
   std::chrono::nanoseconds const start = ProcessorTime();
-  context.run_for(kSpan);
+  context.run_for(kMeasuredTime);
   std::chrono::nanoseconds const used = ProcessorTime() - start;
   std::uint64_t const frames = centre.mHub.Counters().mFramesSent +
                                centre.mHub.Counters().mFramesReceived -
                                framesBefore;
-  // Each frame is sent and received in this process, so a frame's time is
-  // what one instance uses for one that it sends and one that it receives.
+  // Both ends of each link are in this process, so the time per frame is what
+  // an instance uses to send one frame and to receive one.
   return std::chrono::duration<double, std::micro>{ used }.count() /
          static_cast<double>(frames);
 }
@@ -104,22 +105,22 @@
 std::vector<measurement>
 MeasureLinks()
 {
-  std::vector<measurement> found;
+  std::vector<measurement> measurements;
   for (std::size_t const domains : { 1, 4, 12, 24 }) {
     encoded_frame const frame = EncodePeerMessage(MakeHeartbeat(domains));
-    found.push_back({ .mName = "heartbeat frame",
-                      .mSizeOf = "domains",
-                      .mSize = domains,
-                      .mValue = static_cast<double>(frame->size()),
-                      .mUnit = "B" });
+    measurements.push_back({ .mName = "heartbeat frame",
+                             .mSizeOf = "domains",
+                             .mSize = domains,
+                             .mValue = static_cast<double>(frame->size()),
+                             .mUnit = "B" });
   }
   for (std::size_t const links : { 8, 24, 72 })
-    found.push_back({ .mName = "heartbeat sent and received, 12 domains",
-                      .mSizeOf = "links",
-                      .mSize = links,
-                      .mValue = MicrosecondsPerHeartbeat(links),
-                      .mUnit = "us processor" });
-  return found;
+    measurements.push_back({ .mName = "heartbeat sent and received, 12 domains",
+                             .mSizeOf = "links",
+                             .mSize = links,
+                             .mValue = MicrosecondsPerHeartbeat(links),
+                             .mUnit = "us processor" });
+  return measurements;
 }
 
 }
--- a/Bench/Peers/MeasureLinks.h
+++ b/Bench/Peers/MeasureLinks.h
@@ -6,8 +6,8 @@
 
 namespace lycheeseam::bench {
 
-/// Bytes of a heartbeat by failure domains, and processor time of a heartbeat
-/// over real links by links of one process.
+/// Measures the bytes of a heartbeat by the number of failure domains, and its
+/// processor time over TCP links by the number of links of one process.
 std::vector<measurement>
 MeasureLinks();
 
--- a/Bench/Peers/MeasurePropagation.cpp
+++ b/Bench/Peers/MeasurePropagation.cpp
@@ -12,10 +12,10 @@
 
 namespace {
 
-// One way, with the time to handle a frame: within a failure domain, and
-// between domains of one region or of several.
-constexpr double kNearMs = 1.0;
-constexpr double kFarMs = 30.0;
+// Delays in one direction, with the time to handle a frame: within a failure
+// domain, and between domains, which may lie in different regions.
+constexpr double kDomainDelayMs = 1.0;
+constexpr double kCrossDomainDelayMs = 30.0;
 constexpr std::size_t kDomains = 12;
 constexpr int kRounds = 50;
 
@@ -64,28 +64,29 @@
     }
   }
 
-  // Each instance passes an entry on to all its peers when it first has it.
+  // Each instance relays an entry to all of its peers when it first receives
+  // it. Instances in aUnreachable receive nothing.
   [[nodiscard]] spread Flood(std::size_t aReader,
-                             failure_domain const& aLost) const
+                             failure_domain const& aUnreachable) const
   {
     spread result;
     std::vector<bool> has(mMembers.size(), false);
-    std::priority_queue<arrival, std::vector<arrival>, std::greater<>> open;
-    open.push({ .mInstance = aReader });
-    while (!open.empty()) {
-      arrival const next = open.top();
-      open.pop();
+    std::priority_queue<arrival, std::vector<arrival>, std::greater<>> pending;
+    pending.push({ .mInstance = aReader });
+    while (!pending.empty()) {
+      arrival const next = pending.top();
+      pending.pop();
       if (has[next.mInstance])
         continue;
       has[next.mInstance] = true;
       ++result.mReached;
       result.mLastMs = next.mAtMs;
       for (std::size_t const peer : mLinks[next.mInstance]) {
-        if (mMembers[peer].mFailureDomain == aLost)
+        if (mMembers[peer].mFailureDomain == aUnreachable)
           continue;
         ++result.mFrames;
-        open.push({ .mAtMs = next.mAtMs + DelayMs(next.mInstance, peer),
-                    .mInstance = peer });
+        pending.push({ .mAtMs = next.mAtMs + DelayMs(next.mInstance, peer),
+                       .mInstance = peer });
       }
     }
     return result;
@@ -95,7 +96,7 @@
   {
     bool const isNear =
       mMembers[aFrom].mFailureDomain == mMembers[aTo].mFailureDomain;
-    return isNear ? kNearMs : kFarMs;
+    return isNear ? kDomainDelayMs : kCrossDomainDelayMs;
   }
 
   [[nodiscard]] double MeanLinks() const
@@ -112,13 +113,13 @@
 };
 
 void
-Measure(std::size_t aInstances, std::vector<measurement>& aFound)
+Measure(std::size_t aInstances, std::vector<measurement>& aMeasurements)
 {
   fleet_graph const graph{ MakeFleet(aInstances) };
   std::mt19937 random{ 1 };
   std::uniform_int_distribution<std::size_t> any{ 0, aInstances - 1 };
   spread worst;
-  spread worstOut;
+  spread worstWithOutage;
   std::size_t missed = 0;
   std::size_t const domains = std::min(kDomains, aInstances / 2);
   for (int i = 0; i < kRounds; ++i) {
@@ -126,26 +127,27 @@
     spread const all = graph.Flood(reader, {});
     worst.mLastMs = std::max(worst.mLastMs, all.mLastMs);
     worst.mFrames = all.mFrames;
-    std::size_t const lost = (reader + 1) % domains;
-    spread const some =
-      graph.Flood(reader, failure_domain{ "d" + std::to_string(lost) });
-    worstOut.mLastMs = std::max(worstOut.mLastMs, some.mLastMs);
+    std::size_t const unreachable = (reader + 1) % domains;
+    spread const withOutage =
+      graph.Flood(reader, failure_domain{ "d" + std::to_string(unreachable) });
+    worstWithOutage.mLastMs =
+      std::max(worstWithOutage.mLastMs, withOutage.mLastMs);
     std::size_t alive = 0;
     for (std::size_t j = 0; j < aInstances; ++j)
-      alive += j % domains != lost;
-    missed += alive - some.mReached;
+      alive += j % domains != unreachable;
+    missed += alive - withOutage.mReached;
   }
   auto const add = [&](char const* aName, double aValue, char const* aUnit) {
-    aFound.push_back({ .mName = aName,
-                       .mSizeOf = "instances",
-                       .mSize = aInstances,
-                       .mValue = aValue,
-                       .mUnit = aUnit });
+    aMeasurements.push_back({ .mName = aName,
+                              .mSizeOf = "instances",
+                              .mSize = aInstances,
+                              .mValue = aValue,
+                              .mUnit = aUnit });
   };
   double const instances = static_cast<double>(aInstances);
   add("links of an instance, mean", graph.MeanLinks(), "links");
   add("entry read to all instances, worst", worst.mLastMs, "ms virtual");
-  add("the same with a domain out", worstOut.mLastMs, "ms virtual");
+  add("the same with a domain out", worstWithOutage.mLastMs, "ms virtual");
   add("instances missed with a domain out",
       static_cast<double>(missed),
       "instances");
@@ -159,10 +161,10 @@
 std::vector<measurement>
 MeasurePropagation()
 {
-  std::vector<measurement> found;
+  std::vector<measurement> measurements;
   for (std::size_t const instances : { 8, 64, 330 })
-    Measure(instances, found);
-  return found;
+    Measure(instances, measurements);
+  return measurements;
 }
 
 }
--- a/Bench/Peers/MeasurePropagation.h
+++ b/Bench/Peers/MeasurePropagation.h
@@ -6,7 +6,8 @@
 
 namespace lycheeseam::bench {
 
-/// How a log entry spreads over the links between instances, in virtual time.
+/// Measures how a log entry propagates over the links between instances, in
+/// virtual time.
 std::vector<measurement>
 MeasurePropagation();
 
--- a/Bench/Peers/MeasureSupervision.cpp
+++ b/Bench/Peers/MeasureSupervision.cpp
@@ -16,32 +16,32 @@
 using std::chrono::seconds;
 
 constexpr milliseconds kTick{ 100 };
-constexpr seconds kProcessLifetime{ 120 };
+constexpr seconds kTimeToCrash{ 120 };
 constexpr int kRounds = 200;
 
 struct link_result
 {
   std::size_t mFrames = 0;
-  duration mNoticed{};
+  duration mDetectionTime{};
 };
 
-// A link whose peer sends something each aTraffic or so until it dies. Pings
-// are answered within the next tick. Frames are those of both ends, taken as
-// twice those of one, and of answers.
+// Simulates a link whose peer sends traffic, on average every aTraffic, until
+// it crashes. Pings are answered within the next tick. mFrames counts the
+// frames of both ends as twice those of one, with the answers.
 template<link_supervisor Supervisor>
 link_result
 RunLink(Supervisor aSupervisor, milliseconds aTraffic, std::mt19937& aRandom)
 {
   link_result result;
   std::uniform_int_distribution<int> phase{ 0, 9999 };
-  instant const dies =
-    instant{} + kProcessLifetime + milliseconds{ phase(aRandom) };
+  instant const crash =
+    instant{} + kTimeToCrash + milliseconds{ phase(aRandom) };
   std::exponential_distribution<double> gap{ 1.0 / static_cast<double>(
                                                      aTraffic.count()) };
   instant nextTraffic{};
   bool isAnswerDue = false;
   for (instant now{};; now += kTick) {
-    bool const isAlive = now < dies;
+    bool const isAlive = now < crash;
     if (isAlive && isAnswerDue)
       aSupervisor.OnReceived(now);
     isAnswerDue = false;
@@ -53,7 +53,7 @@
     }
     link_check const check = aSupervisor.Check(now);
     if (check == link_check::Dead) {
-      result.mNoticed = now - dies;
+      result.mDetectionTime = now - crash;
       return result;
     }
     if (check == link_check::Ping) {
@@ -61,18 +61,18 @@
       result.mFrames += isAlive ? 2 : 0;
     }
     if (check == link_check::Beat) {
-      // The peer beats at the same interval.
+      // The peer sends heartbeats at the same interval.
       isAnswerDue = true;
       result.mFrames += isAlive ? 2 : 0;
     }
   }
 }
 
-// A process that was itself paused, and looks at its links before it reads
-// what came meanwhile: whether it takes a live peer for dead.
+// Whether a process that was itself paused closes the link to a running peer,
+// because it checks its links before it reads what arrived during the pause.
 template<link_supervisor Supervisor>
 bool
-IsLivePeerLost(Supervisor aSupervisor, milliseconds aPause)
+ClosesLinkAfterOwnPause(Supervisor aSupervisor, milliseconds aPause)
 {
   instant now{};
   for (int i = 0; i < 100; ++i) {
@@ -90,7 +90,7 @@
 Measure(std::string const& aName,
         milliseconds aTraffic,
         MakeSupervisor aMake,
-        std::vector<measurement>& aFound)
+        std::vector<measurement>& aMeasurements)
 {
   std::mt19937 random{ 1 };
   double frames = 0;
@@ -99,16 +99,17 @@
   for (int i = 0; i < kRounds; ++i) {
     link_result const one = RunLink(aMake(), aTraffic, random);
     frames += static_cast<double>(one.mFrames);
-    worst = std::max(worst, one.mNoticed);
-    sum += one.mNoticed;
+    worst = std::max(worst, one.mDetectionTime);
+    sum += one.mDetectionTime;
   }
   auto const add =
     [&](std::string const& aWhat, double aValue, char const* aUnit) {
-      aFound.push_back({ .mName = aName + ": " + aWhat,
-                         .mSizeOf = "ms traffic gap",
-                         .mSize = static_cast<std::size_t>(aTraffic.count()),
-                         .mValue = aValue,
-                         .mUnit = aUnit });
+      aMeasurements.push_back(
+        { .mName = aName + ": " + aWhat,
+          .mSizeOf = "ms traffic gap",
+          .mSize = static_cast<std::size_t>(aTraffic.count()),
+          .mValue = aValue,
+          .mUnit = aUnit });
     };
   double const span = static_cast<double>(kRounds) * 125.0;
   add("supervision frames on a link", frames / span, "frames/s");
@@ -119,7 +120,7 @@
       std::chrono::duration<double>{ worst }.count(),
       "s virtual");
   add("live peer lost by own pause",
-      IsLivePeerLost(aMake(), seconds{ 10 }) ? 1.0 : 0.0,
+      ClosesLinkAfterOwnPause(aMake(), seconds{ 10 }) ? 1.0 : 0.0,
       "peers");
 }
 
@@ -128,7 +129,7 @@
 std::vector<measurement>
 MeasureSupervision()
 {
-  std::vector<measurement> found;
+  std::vector<measurement> measurements;
   for (milliseconds const traffic :
        { milliseconds{ 50 }, milliseconds{ 500 }, milliseconds{ 5000 } }) {
     Measure(
@@ -138,23 +139,23 @@
         quiet_link_options const options{ .mBeatInterval = duration::zero() };
         return quiet_link_supervisor{ options, instant{} };
       },
-      found);
+      measurements);
     Measure(
       "heartbeats, pings on silence",
       traffic,
       []() {
         return quiet_link_supervisor{ {}, instant{} };
       },
-      found);
+      measurements);
     Measure(
       "fixed heartbeats",
       traffic,
       []() {
         return fixed_heartbeat_supervisor{ {}, instant{} };
       },
-      found);
+      measurements);
   }
-  return found;
+  return measurements;
 }
 
 }
--- a/Bench/Peers/MeasureSupervision.h
+++ b/Bench/Peers/MeasureSupervision.h
@@ -6,8 +6,9 @@
 
 namespace lycheeseam::bench {
 
-/// Supervision of quiet links against fixed heartbeats in virtual time: frames
-/// for supervision alone, and the time until a dead peer is noticed.
+/// Compares the supervision of quiet links with fixed heartbeats, in virtual
+/// time: the frames sent only for supervision, and the time until a crashed
+/// peer is detected.
 std::vector<measurement>
 MeasureSupervision();
 
--- a/Bench/Peers/Measurement.h
+++ b/Bench/Peers/Measurement.h
@@ -5,12 +5,12 @@
 
 namespace lycheeseam::bench {
 
-/// One figure that the benchmark gave.
+/// One result of the benchmark.
 struct measurement
 {
   /// What was measured.
   std::string mName;
-  /// What mSize counts.
+  /// The unit of mSize.
   std::string mSizeOf;
   std::size_t mSize = 0;
   double mValue = 0;
--- a/Bench/Peers/ProcessorTime.h
+++ b/Bench/Peers/ProcessorTime.h
@@ -8,17 +8,17 @@
 std::chrono::nanoseconds
 ProcessorTime();
 
-/// The processor time of one call of aWork, in microseconds, over enough
-/// calls to be measured.
+/// The processor time of one call of aWork, in microseconds, averaged
+/// over the calls within at least 50 ms.
 template<typename Work>
 double
 MicrosecondsPerCall(Work aWork)
 {
-  constexpr std::chrono::milliseconds kEnough{ 50 };
+  constexpr std::chrono::milliseconds kMinimumTime{ 50 };
   std::chrono::nanoseconds const start = ProcessorTime();
   std::chrono::nanoseconds used{ 0 };
   int calls = 0;
-  while (used < kEnough) {
+  while (used < kMinimumTime) {
     aWork();
     ++calls;
     used = ProcessorTime() - start;
--- a/Bench/Peers/Report.h
+++ b/Bench/Peers/Report.h
@@ -7,11 +7,11 @@
 
 namespace lycheeseam::bench {
 
-/// The measurements as a table for readers.
+/// Formats the measurements as a table of text.
 std::string
 FormatTable(std::span<measurement const> aMeasurements);
 
-/// The measurements as a JSON list for scripts.
+/// Formats the measurements as a JSON list for scripts.
 std::string
 FormatJson(std::span<measurement const> aMeasurements);
 
