--- a/Bench/Decisions/AnyPolicy.h
+++ b/Bench/Decisions/AnyPolicy.h
@@ -11,12 +11,13 @@
 
 namespace lycheeseam::bench {
 
+/// One of the policies that are compared, chosen at run time.
 using any_policy = std::variant<round_robin_policy,
                                 least_loaded_policy,
                                 rendezvous_policy,
                                 prefix_cost_policy>;
 
-/// A policy of that kind.
+/// Makes a policy of a kind; the options apply to prefix_cost_policy.
 any_policy
 MakePolicy(policy_kind aKind, prefix_cost_options const& aOptions);
 
--- a/Bench/Decisions/Arrival.h
+++ b/Bench/Decisions/Arrival.h
@@ -9,7 +9,7 @@
 
 namespace lycheeseam::bench {
 
-/// One request as its caller sends it.
+/// A request as the load generator creates it, before the simulation runs.
 struct arrival
 {
   instant mAt{};
--- a/Bench/Decisions/BenchCase.cpp
+++ b/Bench/Decisions/BenchCase.cpp
@@ -15,13 +15,14 @@
     bench_case{ .mName = "steady" },
     bench_case{ .mName = "at-rate", .mFlood = kRateHeadroom },
     bench_case{ .mName = "flood", .mFlood = 5.0 * kRateHeadroom },
-    bench_case{ .mName = "crash", .mCrashEvery = 60s },
-    bench_case{ .mName = "loss-crash", .mEventLoss = 0.2, .mCrashEvery = 60s },
+    bench_case{ .mName = "crash", .mCrashInterval = 60s },
+    bench_case{
+      .mName = "loss-crash", .mEventLoss = 0.2, .mCrashInterval = 60s },
     bench_case{ .mName = "loss-crash-restart",
                 .mEventLoss = 0.2,
-                .mCrashEvery = 60s,
-                .mRestartEvery = 60s },
-    bench_case{ .mName = "moving", .mMoveEvery = 20s },
+                .mCrashInterval = 60s,
+                .mRestartInterval = 60s },
+    bench_case{ .mName = "moving", .mMoveInterval = 20s },
   };
   return kAll;
 }
--- a/Bench/Decisions/BenchCase.h
+++ b/Bench/Decisions/BenchCase.h
@@ -7,23 +7,24 @@
 
 namespace lycheeseam::bench {
 
-/// What goes wrong during one run.
+/// The faults and the load changes of one run.
 struct bench_case
 {
   std::string mName;
-  /// How many times its rate the flooding workspace sends.
+  /// The factor on the request rate of the flooding workspace.
   double mFlood = 1.0;
-  /// The part of event batches that is lost.
+  /// The fraction of event batches that is lost.
   double mEventLoss = 0.0;
-  /// A worker crashes this often; zero for never.
-  duration mCrashEvery{};
-  /// An instance restarts with nothing known this often; zero for never.
-  duration mRestartEvery{};
-  /// The hot prefixes move this often; zero for never.
-  duration mMoveEvery{};
+  /// The interval between crashes of a worker; zero for never.
+  duration mCrashInterval{};
+  /// The interval at which an instance loses its block map, as by a restart;
+  /// zero for never.
+  duration mRestartInterval{};
+  /// The interval at which other prefixes become the most used; zero for never.
+  duration mMoveInterval{};
 };
 
-/// Every case that is measured.
+/// All cases that are measured.
 std::span<bench_case const>
 BenchCases();
 
--- a/Bench/Decisions/Deployment.h
+++ b/Bench/Decisions/Deployment.h
@@ -9,24 +9,24 @@
 
 namespace lycheeseam::bench {
 
-/// One of the brief's deployments at its size.
+/// The size, the delays and the load of a deployment.
 struct deployment
 {
   std::string mName;
   std::size_t mWorkers = 0;
   std::size_t mFailureDomains = 0;
   std::size_t mInstances = 0;
-  /// One way between failure domains.
+  /// Delay in one direction between failure domains.
   duration mHop{};
-  /// One way between callers and instances.
+  /// Delay in one direction between callers and instances.
   duration mCallerHop{};
-  /// Requests a second over all workspaces.
+  /// Requests per second over all workspaces.
   double mArrivalRate = 0;
-  /// Each workspace's part of the requests.
+  /// Each workspace's fraction of the requests.
   std::vector<double> mShares;
 };
 
-/// Both deployments.
+/// The deployments that are measured.
 std::span<deployment const>
 Deployments();
 
--- a/Bench/Decisions/EngineJob.h
+++ b/Bench/Decisions/EngineJob.h
@@ -12,7 +12,7 @@
 /// One request inside an engine.
 struct engine_job
 {
-  /// The request's place in the run.
+  /// The request's index in the run.
   std::size_t mRequest = 0;
   std::span<block_hash const> mBlocks;
   token_count mPromptTokens = 0;
@@ -22,7 +22,7 @@
   priority_class mPriority = priority_class::Normal;
   bool mIsStarted = false;
   token_count mCachedTokens = 0;
-  /// Work before the first token, in tokens of prefill.
+  /// Work left before the first token, in prefill tokens.
   double mWork = 0;
   token_count mTokensLeft = 0;
 };
--- a/Bench/Decisions/EngineListener.h
+++ b/Bench/Decisions/EngineListener.h
@@ -8,13 +8,13 @@
 
 namespace lycheeseam::bench {
 
-/// What an engine tells the run.
+/// The callbacks with which an engine reports to the simulation.
 struct engine_listener
 {
   std::function<void(engine_job const&)> mOnFirstToken;
   std::function<void(engine_job const&)> mOnEnd;
-  /// The process died while it ran this.
-  std::function<void(engine_job const&)> mOnLost;
+  /// The engine crashed while it ran or queued the job.
+  std::function<void(engine_job const&)> mOnCrashed;
 };
 
 }
--- a/Bench/Decisions/FakeEngine.cpp
+++ b/Bench/Decisions/FakeEngine.cpp
@@ -12,14 +12,14 @@
 
 using namespace std::chrono_literals;
 
-/// About a hundred thousand tokens, turned over within seconds under load.
+/// About 100,000 tokens, which load replaces within seconds.
 constexpr std::size_t kCacheBlocks = 400;
-/// Prefill work in one step, in tokens.
+/// The most prefill work in one step, in tokens.
 constexpr double kChunk = 2048;
 constexpr std::size_t kMaxRunning = 64;
 constexpr duration kStepBase = 12ms;
 constexpr duration kStepPerRunning = 100us;
-/// What an import costs before its first token, in tokens of prefill.
+/// The fixed cost of an import, in prefill tokens.
 constexpr double kImportStart = 0.02 * fake_engine::kPrefillRate;
 
 }
@@ -36,12 +36,13 @@
 {
   if (!mIsUp)
     return false;
-  // Behind all of its priority; what has begun stays where it is.
-  auto const place =
+  // Inserted behind all jobs of its priority; jobs that have begun keep their
+  // position.
+  auto const position =
     std::ranges::find_if(mWaiting, [&](engine_job const& aOther) {
       return !aOther.mIsStarted && aOther.mPriority > aJob.mPriority;
     });
-  mWaiting.insert(place, aJob);
+  mWaiting.insert(position, aJob);
   if (!mIsInStep)
     StartStep();
   return true;
@@ -60,7 +61,7 @@
   mEvents.clear();
   mCache = lru_cache{ kCacheBlocks };
   for (engine_job const& job : lost)
-    mListener.mOnLost(job);
+    mListener.mOnCrashed(job);
 }
 
 void
@@ -122,16 +123,16 @@
 fake_engine::Prefill()
 {
   double left = kChunk;
-  std::size_t places = kMaxRunning - std::min(kMaxRunning, mRunning.size());
+  std::size_t capacity = kMaxRunning - std::min(kMaxRunning, mRunning.size());
   for (engine_job& job : mWaiting) {
-    if (left <= 0 || places == 0)
+    if (left <= 0 || capacity == 0)
       break;
     if (!job.mIsStarted)
       Begin(job);
     double const part = std::min(left, job.mWork);
     job.mWork -= part;
     left -= part;
-    --places;
+    --capacity;
   }
   return kChunk - left;
 }
--- a/Bench/Decisions/FakeEngine.h
+++ b/Bench/Decisions/FakeEngine.h
@@ -13,23 +13,25 @@
 
 namespace lycheeseam::bench {
 
-/// A fake of a model engine: continuous batching with chunked prefill, and a
-/// prefix cache that evicts the longest unused blocks.
+/// Simulates a model engine: continuous batching with chunked prefill, and a
+/// prefix cache that evicts the least recently used blocks.
 class fake_engine
 {
 public:
-  /// Prompt tokens computed in a second.
+  /// Prompt tokens computed per second.
   static constexpr double kPrefillRate = 16'000;
-  /// Tokens imported from the KV store in a second.
+  /// Tokens imported from the KV store per second.
   static constexpr double kImportRate = 80'000;
 
   fake_engine(scheduler& aScheduler, engine_listener aListener);
 
-  /// Takes a request; false when the process is down.
+  /// Queues a request; returns false while the engine is down.
   bool Submit(engine_job aJob);
 
-  /// The process dies; it comes back cold with the next incarnation.
+  /// Drops all jobs and the cache; the engine is down until Restart.
   void Crash();
+
+  /// Starts the engine after a crash, in its next incarnation.
   void Restart();
 
   [[nodiscard]] server_load Load() const;
--- a/Bench/Decisions/LoadGenerator.cpp
+++ b/Bench/Decisions/LoadGenerator.cpp
@@ -12,16 +12,16 @@
 
 constexpr std::uint64_t kApplications = 3;
 constexpr std::uint64_t kCatalogues = 24;
-/// How steeply the use of catalogues falls with their rank.
+/// The exponent of the Zipf distribution of requests over catalogues.
 constexpr double kZipfExponent = 1.1;
 constexpr std::size_t kApplicationBlocks = 4;
-constexpr std::size_t kShortestCatalogue = 6;
-constexpr std::size_t kCatalogueSpread = 20;
-/// The chance that a request goes on with a conversation.
-constexpr double kContinues = 0.5;
+constexpr std::size_t kMinCatalogueBlocks = 6;
+constexpr std::size_t kCatalogueBlocksRange = 20;
+/// The probability that a request continues an open conversation.
+constexpr double kContinueProbability = 0.5;
 constexpr std::size_t kOpenConversations = 24;
-constexpr std::size_t kLongestConversation = 16;
-constexpr token_count kMeanAnswer = 120;
+constexpr std::size_t kMaxConversationBlocks = 16;
+constexpr token_count kMeanAnswerTokens = 120;
 constexpr std::size_t kFloodingWorkspace = 1;
 
 std::uint64_t
@@ -33,7 +33,8 @@
   return mixed * 0x94D049BB133111EB;
 }
 
-/// Adds blocks that continue a chain in a way that the seed alone decides.
+/// Appends aCount blocks to a chain; their hashes depend only on the seed and
+/// the chain's first block.
 void
 Extend(std::vector<block_hash>& aBlocks,
        std::uint64_t aSeed,
@@ -90,24 +91,25 @@
 arrival
 load_generator::MakeRequest(instant aAt, std::size_t aWorkspace)
 {
-  conversation& talk = PickConversation(aAt, aWorkspace);
+  conversation& current = PickConversation(aAt, aWorkspace);
   arrival request{ .mAt = aAt, .mWorkspace = aWorkspace };
   request.mInstance = static_cast<std::size_t>(
     Uniform() * static_cast<double>(mDeployment.mInstances));
   std::uint64_t const application =
-    Mix(aWorkspace + 1, talk.mCatalogue % kApplications);
-  std::uint64_t const catalogue = Mix(application, talk.mCatalogue + 100);
+    Mix(aWorkspace + 1, current.mCatalogue % kApplications);
+  std::uint64_t const catalogue = Mix(application, current.mCatalogue + 100);
   Extend(request.mBlocks, application, kApplicationBlocks);
   Extend(request.mBlocks,
          catalogue,
-         kShortestCatalogue + catalogue % kCatalogueSpread);
-  Extend(request.mBlocks, Mix(catalogue, talk.mNumber), talk.mBlocks);
-  talk.mBlocks = std::min(talk.mBlocks + 1, kLongestConversation);
+         kMinCatalogueBlocks + catalogue % kCatalogueBlocksRange);
+  Extend(request.mBlocks, Mix(catalogue, current.mNumber), current.mBlocks);
+  current.mBlocks = std::min(current.mBlocks + 1, kMaxConversationBlocks);
   token_count const tail = static_cast<token_count>(Uniform() * kBlockTokens);
   request.mPromptTokens =
     static_cast<token_count>(request.mBlocks.size()) * kBlockTokens + tail + 1;
   request.mAnswerTokens =
-    10 + static_cast<token_count>(-std::log(1.0 - Uniform()) * kMeanAnswer);
+    10 +
+    static_cast<token_count>(-std::log(1.0 - Uniform()) * kMeanAnswerTokens);
   return request;
 }
 
@@ -115,7 +117,7 @@
 load_generator::PickConversation(instant aAt, std::size_t aWorkspace)
 {
   std::vector<conversation>& open = mConversations[aWorkspace];
-  if (!open.empty() && Uniform() < kContinues)
+  if (!open.empty() && Uniform() < kContinueProbability)
     return open[static_cast<std::size_t>(Uniform() *
                                          static_cast<double>(open.size()))];
   if (open.size() >= kOpenConversations)
@@ -138,11 +140,11 @@
   std::discrete_distribution<std::uint64_t> byRank(kWeights.begin(),
                                                    kWeights.end());
   std::uint64_t const rank = byRank(mRandom);
-  if (mCase.mMoveEvery == duration{})
+  if (mCase.mMoveInterval == duration{})
     return rank;
-  // Every move gives the ranks to other catalogues.
+  // Every move assigns the ranks to other catalogues.
   std::uint64_t const moves =
-    static_cast<std::uint64_t>(aAt.time_since_epoch() / mCase.mMoveEvery);
+    static_cast<std::uint64_t>(aAt.time_since_epoch() / mCase.mMoveInterval);
   return (rank + moves * 7) % (kApplications * kCatalogues);
 }
 
--- a/Bench/Decisions/LoadGenerator.h
+++ b/Bench/Decisions/LoadGenerator.h
@@ -10,8 +10,9 @@
 
 namespace lycheeseam::bench {
 
-/// Makes seeded load: prompts whose prefixes are nested in three levels, the
-/// workspace's application, a catalogue in it and a conversation about that.
+/// Generates load from a seed. The prefixes of prompts are nested in three
+/// levels: an application of the workspace, a catalogue within it and a
+/// conversation about the catalogue.
 class load_generator
 {
 public:
@@ -19,11 +20,11 @@
                  bench_case const& aCase,
                  std::uint64_t aSeed);
 
-  /// All requests up to a time, in order.
+  /// Generates all requests up to a time, ordered by time.
   std::vector<arrival> Generate(duration aLength);
 
 private:
-  /// A conversation that may go on.
+  /// A conversation that later requests may continue.
   struct conversation
   {
     std::uint64_t mCatalogue = 0;
--- a/Bench/Decisions/LruCache.cpp
+++ b/Bench/Decisions/LruCache.cpp
@@ -15,22 +15,22 @@
 std::vector<block_hash>
 lru_cache::Use(std::span<block_hash const> aBlocks)
 {
-  // From the end on, so that a prompt's last block goes out before its first.
+  // From the end, so that a prompt's last block is evicted before its first.
   for (auto last = aBlocks.rbegin(); last != aBlocks.rend(); ++last) {
     block_hash const block = *last;
-    auto const found = mPlaces.find(block);
-    if (found != mPlaces.end()) {
-      mOrder.splice(mOrder.begin(), mOrder, found->second);
+    auto const found = mPositions.find(block);
+    if (found != mPositions.end()) {
+      mRecency.splice(mRecency.begin(), mRecency, found->second);
       continue;
     }
-    mOrder.push_front(block);
-    mPlaces.emplace(block, mOrder.begin());
+    mRecency.push_front(block);
+    mPositions.emplace(block, mRecency.begin());
   }
   std::vector<block_hash> evicted;
-  while (mOrder.size() > mCapacity) {
-    evicted.push_back(mOrder.back());
-    mPlaces.erase(mOrder.back());
-    mOrder.pop_back();
+  while (mRecency.size() > mCapacity) {
+    evicted.push_back(mRecency.back());
+    mPositions.erase(mRecency.back());
+    mRecency.pop_back();
   }
   return evicted;
 }
--- a/Bench/Decisions/LruCache.h
+++ b/Bench/Decisions/LruCache.h
@@ -10,7 +10,7 @@
 
 namespace lycheeseam::bench {
 
-/// Blocks in limited memory; the longest unused ones go first.
+/// A bounded cache of blocks that evicts the least recently used first.
 class lru_cache
 {
 public:
@@ -19,25 +19,26 @@
   {
   }
 
-  /// How many blocks from the prompt's start on are held.
+  /// The length of the prompt's cached prefix, in blocks.
   [[nodiscard]] std::size_t CountHeld(
     std::span<block_hash const> aBlocks) const;
 
-  /// Holds a prompt's blocks as most recently used; returns what went out.
+  /// Caches a prompt's blocks as most recently used; returns the evicted
+  /// blocks.
   std::vector<block_hash> Use(std::span<block_hash const> aBlocks);
 
   [[nodiscard]] bool Holds(block_hash aBlock) const
   {
-    return mPlaces.contains(aBlock);
+    return mPositions.contains(aBlock);
   }
 
 private:
-  using order = std::list<block_hash>;
+  using recency_list = std::list<block_hash>;
 
   std::size_t mCapacity;
-  /// The most recently used first.
-  order mOrder;
-  std::unordered_map<block_hash, order::iterator> mPlaces;
+  /// Most recently used first.
+  recency_list mRecency;
+  std::unordered_map<block_hash, recency_list::iterator> mPositions;
 };
 
 }
--- a/Bench/Decisions/Main.cpp
+++ b/Bench/Decisions/Main.cpp
@@ -5,15 +5,17 @@
 #include <cstdio>
 #include <vector>
 
-/// \file Measures placement and admission in virtual time.
+/// \file bench-decisions: measures placement and admission in virtual time.
 
 DEFINE_string(results, "Results", "the folder that JSON is written to");
-DEFINE_string(only_case, "", "measure this case alone");
-DEFINE_string(only_deployment, "", "measure this deployment alone");
-DEFINE_string(only_policy, "", "measure this policy alone");
+DEFINE_string(only_case, "", "measure only this case");
+DEFINE_string(only_deployment, "", "measure only this deployment");
+DEFINE_string(only_policy, "", "measure only this policy");
 DEFINE_double(compute_weight, 1.0, "prefix_cost_options::mComputeWeight");
-DEFINE_uint64(window, 8, "requests of one instance on one server");
-DEFINE_uint64(seeds, 3, "how many seeds each figure is taken over");
+DEFINE_uint64(window,
+              8,
+              "requests that one instance may have outstanding on one server");
+DEFINE_uint64(seeds, 3, "the number of seeds that each result covers");
 
 namespace lycheeseam::bench {
 namespace {
--- a/Bench/Decisions/Measure.cpp
+++ b/Bench/Decisions/Measure.cpp
@@ -9,10 +9,10 @@
 
 namespace {
 
-/// The workspace that floods in its case.
-constexpr std::size_t kFlooding = 1;
+/// The index of the workspace that floods in the case of that name.
+constexpr std::size_t kFloodingWorkspace = 1;
 
-/// What is summed over seeds before it is made into measures.
+/// Values collected over all seeds, from which the results are computed.
 struct sample
 {
   std::vector<double> mFirstTokens;
@@ -24,13 +24,13 @@
 };
 
 void
-CountFate(request_fate aFate, case_result& aResult)
+CountResult(request_result aOutcome, case_result& aResult)
 {
   ++aResult.mRequests;
-  aResult.mOverRate += aFate == request_fate::OverRate ? 1 : 0;
-  aResult.mLost += aFate == request_fate::Lost ? 1 : 0;
+  aResult.mOverRate += aOutcome == request_result::OverRate ? 1 : 0;
+  aResult.mLost += aOutcome == request_result::Lost ? 1 : 0;
   bool const isRefused =
-    aFate == request_fate::Refused || aFate == request_fate::Open;
+    aOutcome == request_result::Refused || aOutcome == request_result::Open;
   aResult.mRefusedInside += isRefused ? 1 : 0;
 }
 
@@ -41,7 +41,7 @@
     std::chrono::duration<double, std::milli>(aState.mFirstTokenAfter).count();
   aSum.mFirstTokens.push_back(after);
   aSum.mByWorkspace[aRequest.mWorkspace].push_back(after);
-  if (aRequest.mWorkspace != kFlooding)
+  if (aRequest.mWorkspace != kFloodingWorkspace)
     aSum.mOthers.push_back(after);
   aSum.mPromptTokens += static_cast<double>(aRequest.mPromptTokens);
   aSum.mCachedTokens += static_cast<double>(aState.mCachedTokens);
@@ -59,14 +59,14 @@
     request_state const& state = aRun.States()[index];
     if (request.mAt < aFrom)
       continue;
-    CountFate(state.mFate, aResult);
-    if (state.mFate == request_fate::Answered)
+    CountResult(state.mResult, aResult);
+    if (state.mResult == request_result::Answered)
       AddAnswered(request, state, aSum);
   }
 }
 
 void
-Conclude(sample const& aSum, case_result& aResult)
+Summarize(sample const& aSum, case_result& aResult)
 {
   aResult.mHitRate = 100 * aSum.mCachedTokens / aSum.mPromptTokens;
   aResult.mRecomputed = 100 * aSum.mRecomputedTokens / aSum.mPromptTokens;
@@ -78,8 +78,9 @@
     tails.push_back(Percentile(workspace, 0.99));
   aResult.mMedianWorkspaceP99 = Percentile(tails, 0.5);
   aResult.mWorstWorkspaceP99 = *std::ranges::max_element(tails);
-  // A flooding workspace waits for its own rate, which is no unfairness.
-  tails.erase(tails.begin() + kFlooding);
+  // A flooding workspace waits because of its own rate limit, which is fair, so
+  // it is excluded.
+  tails.erase(tails.begin() + kFloodingWorkspace);
   aResult.mWorstOtherP99 = *std::ranges::max_element(tails);
 }
 
@@ -108,7 +109,7 @@
     result.mEventBytes +=
       static_cast<double>(run.EventBytes()) / instanceSeconds;
   }
-  Conclude(sum, result);
+  Summarize(sum, result);
   return result;
 }
 
--- a/Bench/Decisions/Measure.h
+++ b/Bench/Decisions/Measure.h
@@ -8,8 +8,7 @@
 
 namespace lycheeseam::bench {
 
-/// Runs one policy in one case with each seed and takes the measures over all
-/// of them.
+/// Runs one policy in one case with each seed; the results cover all runs.
 case_result
 Measure(simulation_options const& aOptions,
         std::span<std::uint64_t const> aSeeds);
--- a/Bench/Decisions/PlotTables.cpp
+++ b/Bench/Decisions/PlotTables.cpp
@@ -12,7 +12,8 @@
 
 using measure = double case_result::*;
 
-/// One deployment's rows of one measure, by case in the order of the run.
+/// Writes one measure of a deployment: a row per case in the order of the
+/// results, a column per policy.
 void
 WritePlotTable(std::span<case_result const> aResults,
                std::string const& aDeployment,
--- a/Bench/Decisions/PolicyKind.h
+++ b/Bench/Decisions/PolicyKind.h
@@ -11,11 +11,12 @@
   RoundRobin,
   LeastLoaded,
   Rendezvous,
-  /// The full policy on events and the instances' own sends.
+  /// The prefix-cost policy with cache events and the requests that instances
+  /// sent.
   Full,
-  /// The full policy on the instances' own sends alone.
+  /// The prefix-cost policy with only the requests that instances sent.
   FullNoEvents,
-  /// The full policy on what the caches really hold.
+  /// The prefix-cost policy with the exact contents of the caches.
   Oracle,
 };
 
@@ -24,11 +25,11 @@
   policy_kind::Full,       policy_kind::FullNoEvents, policy_kind::Oracle,
 };
 
-/// The name in tables.
+/// The policy's name in tables.
 std::string_view
 PolicyName(policy_kind aKind);
 
-/// True for policies that ask a shard first.
+/// Whether the policy looks up the block shard before it chooses.
 constexpr bool
 AsksShard(policy_kind aKind)
 {
--- a/Bench/Decisions/Report.h
+++ b/Bench/Decisions/Report.h
@@ -7,17 +7,18 @@
 
 namespace lycheeseam::bench {
 
-/// Prints a table in Markdown.
+/// Prints the results as a Markdown table.
 void
 PrintTable(std::span<case_result const> aResults);
 
-/// Writes the results as JSON; throws error when the file can't be written.
+/// Writes the results as JSON; throws error if the file can't be written.
 void
 WriteJson(std::span<case_result const> aResults,
           std::filesystem::path const& aFile);
 
-/// Writes one table for each deployment's hit rate and p99 first token, a row
-/// for each case and a column for each policy, for plots; throws error.
+/// Writes a table for plots for each deployment's hit rate and p99 first token,
+/// with a row per case and a column per policy; throws error if a file can't be
+/// written.
 void
 WritePlotTables(std::span<case_result const> aResults,
                 std::filesystem::path const& aFolder);
--- a/Bench/Decisions/RequestState.h
+++ b/Bench/Decisions/RequestState.h
@@ -10,24 +10,24 @@
 
 namespace lycheeseam::bench {
 
-/// What became of a request.
-enum class request_fate
+/// The result of a request.
+enum class request_result
 {
   Open,
   Answered,
-  /// Its workspace was over its rate for longer than the wait's bound.
+  /// Over the workspace's rate for longer than a request may wait for tokens.
   OverRate,
-  /// Inside its workspace's rate, yet not admitted in time.
+  /// Within the workspace's rate, but not admitted in time.
   Refused,
-  /// Lost with a backend server, and the retry budget was spent.
+  /// Its backend server failed and the retry budget was exhausted.
   Lost,
 };
 
-/// One request's way through the run.
+/// The state of one request in the simulation.
 struct request_state
 {
   budget_state mBudget = budget_state::Within;
-  request_fate mFate = request_fate::Open;
+  request_result mResult = request_result::Open;
   block_answer mKnown;
   knowledge_state mKnowledge = knowledge_state::Missing;
   placement_choice mChoice;
@@ -35,7 +35,7 @@
   bool mHasFirstToken = false;
   duration mFirstTokenAfter{};
   token_count mCachedTokens = 0;
-  /// Tokens computed though some engine had computed them before.
+  /// Tokens computed again that some engine had already computed.
   token_count mRecomputedTokens = 0;
 };
 
--- a/Bench/Decisions/RouterInstance.h
+++ b/Bench/Decisions/RouterInstance.h
@@ -13,7 +13,8 @@
 
 namespace lycheeseam::bench {
 
-/// One instance's own view of the pool, and its decisions.
+/// A simulated instance: its view of the pool's servers and its placement and
+/// admission decisions.
 class router_instance
 {
 public:
@@ -23,16 +24,16 @@
                   failure_domain aFailureDomain,
                   any_policy aPolicy);
 
-  /// The pool's servers as this instance sees them now.
+  /// The pool's servers with this instance's view of their state.
   std::span<placement_candidate const> Candidates(instant aNow);
 
-  /// True when a request could be placed now.
+  /// True if a request could be placed now.
   bool HasEligible(instant aNow);
 
   std::optional<placement_choice> Choose(placement_request aRequest,
                                          instant aNow);
 
-  /// A load report came, with the incarnation that sent it.
+  /// Handles a load report from an incarnation of a server.
   void OnReport(std::size_t aServer,
                 incarnation aIncarnation,
                 server_load const& aLoad,
@@ -52,7 +53,8 @@
 
   fair_queue mQueue;
   block_shard mShard;
-  /// What this instance has sent lately itself, for lookups without an answer.
+  /// The prefixes that this instance sent recently, for lookups without an
+  /// answer.
   block_shard mRecent{ { .mEntries = kRecentEntries } };
   retry_budget mRetries;
 
@@ -64,11 +66,11 @@
   std::vector<placement_candidate> mCandidates;
 };
 
-/// A backend server's name in the bench.
+/// The id of the backend server with an index.
 backend_server_id
 ServerName(std::size_t aIndex);
 
-/// A failure domain's name in the bench.
+/// The name of the failure domain with an index.
 failure_domain
 DomainName(std::size_t aIndex);
 
--- a/Bench/Decisions/ServerView.h
+++ b/Bench/Decisions/ServerView.h
@@ -7,7 +7,7 @@
 
 namespace lycheeseam::bench {
 
-/// What one instance knows of one backend server.
+/// One instance's state for one backend server.
 struct server_view
 {
   incarnation mIncarnation{ 1 };
--- a/Bench/Decisions/SimulatedRequests.cpp
+++ b/Bench/Decisions/SimulatedRequests.cpp
@@ -7,7 +7,7 @@
 
 #include <algorithm>
 
-/// \file A request's way through simulation.
+/// \file The steps of a request in the simulation.
 
 namespace lycheeseam::bench {
 
@@ -19,7 +19,7 @@
   token_count const cost = request.mPromptTokens + request.mAnswerTokens;
   duration const wait = bucket.WaitFor(cost, mScheduler.Now());
   if (wait > kRateWait) {
-    mStates[aRequest].mFate = request_fate::OverRate;
+    mStates[aRequest].mResult = request_result::OverRate;
     return;
   }
   bucket.Take(cost);
@@ -43,7 +43,7 @@
   if (!isOwn &&
       std::uniform_real_distribution<double>{}(mRandom) < kLookupLoss) {
     mScheduler.After(lookup_deadlines::kPatience,
-                     [this, aRequest]() { UseOwnSends(aRequest); });
+                     [this, aRequest]() { UseRecentSends(aRequest); });
     return;
   }
   mScheduler.After(hop, [this, aRequest, owner, isOwn, hop, &state]() {
@@ -58,16 +58,16 @@
         2 * (2 * kFrameBytes +
              kBlockHashBytes * mArrivals[aRequest].mBlocks.size() +
              kHolderBytes * state.mKnown.mKnown.size());
-    // A shard that knows nothing may just have started.
+    // An empty answer may come from a shard that has just started.
     bool const isUnknown = state.mKnown.mKnown.empty();
     mScheduler.After(hop, [this, aRequest, isUnknown]() {
-      isUnknown ? UseOwnSends(aRequest) : Enqueue(aRequest);
+      isUnknown ? UseRecentSends(aRequest) : Enqueue(aRequest);
     });
   });
 }
 
 void
-simulation::UseOwnSends(std::size_t aRequest)
+simulation::UseRecentSends(std::size_t aRequest)
 {
   arrival const& request = mArrivals[aRequest];
   request_state& state = mStates[aRequest];
@@ -91,21 +91,21 @@
       .mCost = request.mPromptTokens + request.mAnswerTokens,
       .mDeadline = deadline });
   if (result != enqueue_result::Queued) {
-    mStates[aRequest].mFate = request_fate::Refused;
+    mStates[aRequest].mResult = request_result::Refused;
     return;
   }
-  Pump(request.mInstance);
+  AdmitQueued(request.mInstance);
 }
 
 void
-simulation::Pump(std::size_t aInstance)
+simulation::AdmitQueued(std::size_t aInstance)
 {
   router_instance& instance = mInstances[aInstance];
   while (instance.mQueue.size() > 0) {
     std::size_t const free = instance.HasEligible(mScheduler.Now()) ? 1 : 0;
     admission_batch const batch = instance.mQueue.Next(mScheduler.Now(), free);
     for (ticket const expired : batch.mExpired)
-      mStates[expired.Value()].mFate = request_fate::Refused;
+      mStates[expired.Value()].mResult = request_result::Refused;
     for (ticket const admitted : batch.mAdmitted)
       Place(aInstance, admitted.Value());
     if (free == 0)
@@ -173,7 +173,7 @@
   request_state& state = mStates[index];
   duration const hop = Hop(request.mInstance, state.mChoice.mIndex);
   instant const seen = mScheduler.Now() + hop + mOptions.mDeployment.mCallerHop;
-  state.mFate = request_fate::Answered;
+  state.mResult = request_result::Answered;
   state.mHasFirstToken = true;
   state.mFirstTokenAfter = seen - request.mAt;
   state.mCachedTokens = aJob.mCachedTokens;
@@ -186,7 +186,7 @@
 {
   std::size_t const instance = mArrivals[aJob.mRequest].mInstance;
   mInstances[instance].OnEnd(mStates[aJob.mRequest].mChoice.mIndex);
-  Pump(instance);
+  AdmitQueued(instance);
 }
 
 void
@@ -195,12 +195,12 @@
   request_state& state = mStates[aRequest];
   router_instance& instance = mInstances[mArrivals[aRequest].mInstance];
   instance.OnFailure(state.mChoice.mIndex, mScheduler.Now());
-  // A stream that has begun isn't measured any more; resuming it is another
-  // package's work.
+  // A stream that has begun isn't measured further; this benchmark doesn't
+  // cover resuming it.
   if (state.mHasFirstToken)
     return;
   if (!instance.mRetries.TrySpend()) {
-    state.mFate = request_fate::Lost;
+    state.mResult = request_result::Lost;
     return;
   }
   state.mKnowledge = knowledge_state::Missing;
@@ -216,7 +216,7 @@
     static_cast<std::size_t>(aJob.mStoredTokens / kBlockTokens);
   std::size_t const first = std::max(cached, stored);
   for (block_hash const block : aJob.mBlocks.subspan(first)) {
-    if (!mComputed.insert(block).second)
+    if (!mComputedBlocks.insert(block).second)
       mStates[aJob.mRequest].mRecomputedTokens += kBlockTokens;
   }
 }
--- a/Bench/Decisions/Simulation.cpp
+++ b/Bench/Decisions/Simulation.cpp
@@ -61,7 +61,7 @@
       engine_listener{
         .mOnFirstToken = [this](engine_job const& aJob) { OnFirstToken(aJob); },
         .mOnEnd = [this](engine_job const& aJob) { OnEnd(aJob); },
-        .mOnLost =
+        .mOnCrashed =
           [this](engine_job const& aJob) { OnFailure(aJob.mRequest); } }));
   mSequences.resize(mEngines.size());
 }
@@ -85,14 +85,14 @@
 {
   std::uniform_int_distribution<std::size_t> worker{ 0, mEngines.size() - 1 };
   instant const end = instant{} + mOptions.mLength;
-  duration const crash = mOptions.mCase.mCrashEvery;
+  duration const crash = mOptions.mCase.mCrashInterval;
   for (instant at = instant{} + crash; crash > duration{} && at < end;
        at += crash) {
     std::size_t const hit = worker(mRandom);
     mScheduler.At(at, [this, hit]() { mEngines[hit]->Crash(); });
     mScheduler.At(at + kDownTime, [this, hit]() { mEngines[hit]->Restart(); });
   }
-  duration const restart = mOptions.mCase.mRestartEvery;
+  duration const restart = mOptions.mCase.mRestartInterval;
   std::size_t instance = 0;
   for (instant at = instant{} + restart / 2; restart > duration{} && at < end;
        at += restart) {
@@ -107,13 +107,13 @@
 {
   instant const end = instant{} + mOptions.mLength;
   for (std::size_t server = 0; server < mEngines.size(); ++server) {
-    // Engines don't publish in step with each other.
-    duration const offset = kLoadEvery * static_cast<int>(server) / 32;
-    for (instant at = instant{} + offset; at < end; at += kLoadEvery)
+    // The offset spreads the engines' reports over time.
+    duration const offset = kLoadInterval * static_cast<int>(server) / 32;
+    for (instant at = instant{} + offset; at < end; at += kLoadInterval)
       mScheduler.At(at, [this, server]() { PublishLoad(server); });
     if (mOptions.mPolicy != policy_kind::Full)
       continue;
-    for (instant at = instant{} + offset; at < end; at += kEventsEvery)
+    for (instant at = instant{} + offset; at < end; at += kEventInterval)
       mScheduler.At(at, [this, server]() { PublishEvents(server); });
   }
 }
@@ -129,7 +129,7 @@
   mScheduler.After(kLoadLag, [this, aServer, load, current]() {
     for (std::size_t index = 0; index < mInstances.size(); ++index) {
       mInstances[index].OnReport(aServer, current, load, mScheduler.Now());
-      Pump(index);
+      AdmitQueued(index);
     }
   });
 }
--- a/Bench/Decisions/Simulation.h
+++ b/Bench/Decisions/Simulation.h
@@ -16,13 +16,14 @@
 
 namespace lycheeseam::bench {
 
-/// Several instances before fake engines, in virtual time.
+/// Simulates several instances that route requests to fake engines, in virtual
+/// time.
 class simulation
 {
 public:
   explicit simulation(simulation_options aOptions);
 
-  /// Runs to the end; once only.
+  /// Runs the simulation to its end; call it only once.
   void Run();
 
   [[nodiscard]] std::span<arrival const> Arrivals() const { return mArrivals; }
@@ -40,12 +41,12 @@
   void ScheduleReports();
   void ScheduleFaults();
 
-  // A request's way.
+  // The steps of a request.
   void OnArrival(std::size_t aRequest);
   void Lookup(std::size_t aRequest);
-  void UseOwnSends(std::size_t aRequest);
+  void UseRecentSends(std::size_t aRequest);
   void Enqueue(std::size_t aRequest);
-  void Pump(std::size_t aInstance);
+  void AdmitQueued(std::size_t aInstance);
   void Place(std::size_t aInstance, std::size_t aRequest);
   void Submit(std::size_t aInstance, std::size_t aRequest);
   void OnFirstToken(engine_job const& aJob);
@@ -55,14 +56,14 @@
   [[nodiscard]] block_answer ExactAnswer(std::size_t aRequest) const;
   [[nodiscard]] bool UsesStore() const;
 
-  // What engines publish.
+  // Reports that engines publish.
   void PublishLoad(std::size_t aServer);
   void PublishEvents(std::size_t aServer);
   void DeliverEvents(std::size_t aServer,
                      std::span<cache_event const> aEvents,
                      event_sequence aSequence);
 
-  // Distances.
+  // Shard owners and delays between nodes.
   [[nodiscard]] std::size_t OwnerOf(block_hash aRoot) const;
   [[nodiscard]] duration Hop(std::size_t aLeft, std::size_t aRight) const;
   void SendUpdate(std::size_t aRequest,
@@ -79,7 +80,7 @@
   std::vector<router_instance> mInstances;
   std::vector<instance_id> mInstanceNames;
   lru_cache mStore;
-  std::unordered_set<block_hash> mComputed;
+  std::unordered_set<block_hash> mComputedBlocks;
   std::uint64_t mLookupBytes = 0;
   std::uint64_t mEventBytes = 0;
 };
--- a/Bench/Decisions/SimulationConstants.h
+++ b/Bench/Decisions/SimulationConstants.h
@@ -5,33 +5,34 @@
 #include <chrono>
 #include <cstddef>
 
-/// \file The platform's habits in the runs.
+/// \file Delays, limits and message sizes of the simulated platform.
 
 namespace lycheeseam::bench {
 
-/// One way inside a failure domain.
+/// Delay in one direction inside a failure domain.
 inline constexpr duration kNearHop = std::chrono::microseconds{ 100 };
-inline constexpr duration kLoadEvery = std::chrono::milliseconds{ 250 };
+inline constexpr duration kLoadInterval = std::chrono::milliseconds{ 250 };
 inline constexpr duration kLoadLag = std::chrono::milliseconds{ 200 };
-inline constexpr duration kEventsEvery = std::chrono::milliseconds{ 100 };
+inline constexpr duration kEventInterval = std::chrono::milliseconds{ 100 };
 inline constexpr duration kEventLag = std::chrono::milliseconds{ 300 };
-/// How long a crashed worker is away.
+/// How long a crashed worker is down.
 inline constexpr duration kDownTime = std::chrono::seconds{ 3 };
-/// What runs on after the last arrival.
+/// How long the simulation continues after the last arrival.
 inline constexpr duration kDrain = std::chrono::seconds{ 30 };
 /// How long a request may wait for its workspace's tokens.
 inline constexpr duration kRateWait = std::chrono::seconds{ 2 };
 /// How long a request may wait for admission.
 inline constexpr duration kQueueWait = std::chrono::seconds{ 10 };
-/// A workspace's rate beside what it usually sends.
+/// A workspace's rate limit as a multiple of its usual rate.
 inline constexpr double kRateHeadroom = 1.3;
 /// A workspace's burst, in seconds of its rate.
 inline constexpr double kBurstSeconds = 5.0;
 inline constexpr std::size_t kStoreBlocks = 4000;
-/// The part of lookups that is lost.
+/// The fraction of lookups that is lost.
 inline constexpr double kLookupLoss = 0.005;
 
-/// Sizes on the wire: a framed message, a block, a holder, an event, a batch.
+/// Encoded sizes in bytes: a frame's header, a block, a holder, an event and a
+/// batch's header.
 inline constexpr std::size_t kFrameBytes = 24;
 inline constexpr std::size_t kBlockHashBytes = 8;
 inline constexpr std::size_t kHolderBytes = 16;
--- a/Bench/Decisions/SimulationOptions.h
+++ b/Bench/Decisions/SimulationOptions.h
@@ -12,7 +12,7 @@
 
 namespace lycheeseam::bench {
 
-/// One run: where, what goes wrong, and who decides.
+/// The parameters of one run: deployment, case, policy, seed and lengths.
 struct simulation_options
 {
   deployment mDeployment;
@@ -20,7 +20,7 @@
   policy_kind mPolicy = policy_kind::Full;
   std::uint64_t mSeed = 1;
   duration mLength = std::chrono::seconds{ 300 };
-  /// What comes before isn't measured: caches fill.
+  /// Requests before this time aren't measured, while the caches fill.
   duration mWarmUp = std::chrono::seconds{ 30 };
   prefix_cost_options mCost{ .mPrefillRate = fake_engine::kPrefillRate,
                              .mImportRate = fake_engine::kImportRate };
--- a/Bench/Decisions/TokenBucket.h
+++ b/Bench/Decisions/TokenBucket.h
@@ -8,7 +8,8 @@
 
 namespace lycheeseam::bench {
 
-/// A workspace's rate over the fleet, exact: stands in for the real limiter.
+/// A workspace's exact rate limit over the whole fleet, in place of the real
+/// distributed limiter.
 class token_bucket
 {
 public:
@@ -19,7 +20,7 @@
   {
   }
 
-  /// How long a request of that cost has to wait for its tokens.
+  /// How long a request of a cost must wait for its tokens.
   [[nodiscard]] duration WaitFor(token_count aCost, instant aNow)
   {
     Accrue(aNow);
@@ -28,7 +29,7 @@
       std::chrono::duration<double>{ std::max(missing, 0.0) / mRate });
   }
 
-  /// Takes the tokens, also those that are still to come.
+  /// Takes the tokens; the balance may become negative.
   void Take(token_count aCost) { mTokens -= static_cast<double>(aCost); }
 
 private:
