--- a/StandIns/Engine/EngineCounts.h
+++ b/StandIns/Engine/EngineCounts.h
@@ -15,7 +15,7 @@
   std::map<std::string, std::uint64_t> mRuns;
   std::uint64_t mFinished = 0;
   std::uint64_t mCancelled = 0;
-  /// Requests with an Authorization header, which must not reach an engine.
+  /// Requests that still had the caller's Authorization header.
   std::uint64_t mAuthorizationHeaders = 0;
   token_count mPromptTokens = 0;
   token_count mCachedTokens = 0;
--- a/StandIns/Http/RunStandIn.h
+++ b/StandIns/Http/RunStandIn.h
@@ -6,7 +6,7 @@
 
 namespace lycheeseam::standin {
 
-/// The exit code of a stand-in that crashes on request.
+/// The exit code of a stand-in that crashes because a test asked for it.
 inline constexpr int kCrashExitCode = 70;
 
 /// Serves a stand-in's calls on this thread. A crash that a control call
--- a/StandIns/Service/RunCounts.h
+++ b/StandIns/Service/RunCounts.h
@@ -18,8 +18,7 @@
     return ++mRuns[std::string{ aIdentity }];
   }
 
-  /// Counts a request with an Authorization header, which must not reach a
-  /// service.
+  /// Counts a request that still had the caller's Authorization header.
   void AddAuthorizationHeader() { ++mAuthorizationHeaders; }
 
   [[nodiscard]] std::map<std::string, std::uint64_t> const& Runs() const
