--- a/StandIns/Engine/EngineApi.cpp
+++ b/StandIns/Engine/EngineApi.cpp
@@ -15,7 +15,7 @@
 using boost::beast::http::status;
 using nlohmann::json;
 
-/// Milliseconds since the epoch: a later start has a larger one.
+/// Milliseconds since the epoch, so that a later start has a larger number.
 incarnation
 NewIncarnation()
 {
@@ -31,10 +31,10 @@
   : mOptions(std::move(aOptions))
   , mIncarnation(NewIncarnation())
   , mGenerator(aContext, mOptions.mSpeed)
-  , mDesk(mOptions.mChecksFencing)
-  , mLoading(aContext)
+  , mOrderHandler(mOptions.mChecksFencing)
+  , mLoadTimer(aContext)
 {
-  mDesk.Complete(
+  mOrderHandler.Complete(
     engine_order{ .mModel = mOptions.mModel, .mVersion = mOptions.mVersion });
 }
 
@@ -73,11 +73,11 @@
   if (path == "/v1/chat/completions" || path == "/v1/completions")
     return Complete(aExchange);
   if (path == "/engine/load")
-    return TellLoad(aExchange);
+    return ReportLoad(aExchange);
   if (path == "/engine/events")
-    return TellEvents(aExchange);
+    return ReportEvents(aExchange);
   if (path == "/engine/orders")
-    return TakeOrder(aExchange);
+    return HandleOrder(aExchange);
   if (path == "/engine/cancel")
     return Cancel(aExchange);
   if (path == "/engine/kv/export")
@@ -85,9 +85,9 @@
   if (path == "/engine/kv/import")
     return ImportBlocks(aExchange);
   if (path == "/control/counts")
-    return TellCounts(aExchange);
+    return ReportCounts(aExchange);
   if (path == "/control")
-    return TakeControl(aExchange);
+    return HandleControl(aExchange);
   RespondError(*aExchange, status::not_found, "unknown_path", path);
 }
 
@@ -99,17 +99,18 @@
   aExchange->AddHeader("X-Engine-Id", mOptions.mId.Text());
   aExchange->AddHeader("X-Engine-Incarnation",
                        std::to_string(mIncarnation.Value()));
-  aExchange->AddHeader("X-Weights-Version", mDesk.Version().Text());
+  aExchange->AddHeader("X-Weights-Version", mOrderHandler.Version().Text());
   if (mIsLoading)
-    return RespondError(*aExchange,
-                        status::service_unavailable,
-                        "loading_weights",
-                        "new weights are being loaded; nothing was run");
-  bool const isAnyModel = mDesk.Model().IsEmpty();
-  if (!isAnyModel && request.mModel != mDesk.Model())
+    return RespondError(
+      *aExchange,
+      status::service_unavailable,
+      "loading_weights",
+      "new weights are being loaded; the request was not run");
+  bool const isAnyModel = mOrderHandler.Model().IsEmpty();
+  if (!isAnyModel && request.mModel != mOrderHandler.Model())
     return RespondError(
       *aExchange, status::not_found, "model_not_loaded", request.mModel.Text());
-  mGenerator.Start(request, mDesk.Version(), aExchange);
+  mGenerator.Start(request, mOrderHandler.Version(), aExchange);
 }
 
 void
@@ -121,7 +122,7 @@
 }
 
 void
-engine_api::TakeControl(exchange const& aExchange)
+engine_api::HandleControl(exchange const& aExchange)
 {
   engine_control const control =
     ParseEngineControl(aExchange->Request().body());
@@ -148,7 +149,7 @@
     mGenerator.Events().SetLostEvery(*aControl.mLoseEveryEvent);
   if (aControl.mLoadLag)
     mGenerator.Load().SetLag(*aControl.mLoadLag);
-  // Everything runs on this thread, so that a freeze is a stop of it.
+  // The engine has only this thread, so that blocking it freezes the engine.
   std::this_thread::sleep_for(aControl.mFreeze);
 }
 
--- a/StandIns/Engine/EngineOrders.cpp
+++ b/StandIns/Engine/EngineOrders.cpp
@@ -8,42 +8,44 @@
 using nlohmann::json;
 
 void
-engine_api::TakeOrder(exchange const& aExchange)
+engine_api::HandleOrder(exchange const& aExchange)
 {
   engine_order const order = ParseOrder(aExchange->Request().body());
-  if (mDesk.Check(order) == order_answer::StaleFencing) {
+  if (mOrderHandler.Check(order) == order_answer::StaleFencing) {
     json const error{ { "code", "stale_fencing" },
-                      { "newest", mDesk.Newest().Value() } };
+                      { "newest", mOrderHandler.Newest().Value() } };
     aExchange->Respond(status::conflict, json{ { "error", error } }.dump());
     return;
   }
   if (order.mKind != engine_order_kind::LoadWeights)
-    return CarryOut(order, aExchange);
+    return ExecuteOrder(order, aExchange);
   mIsLoading = true;
-  mLoading.expires_after(mOptions.mWeightLoadTime);
-  mLoading.async_wait(
+  mLoadTimer.expires_after(mOptions.mWeightLoadTime);
+  mLoadTimer.async_wait(
     [this, order, aExchange](boost::system::error_code aError) {
-      // A later load has taken this one's place.
+      // A later order restarted the timer, which cancels this wait.
       if (aError)
-        return RespondError(
-          *aExchange, status::conflict, "superseded", "a newer load began");
+        return RespondError(*aExchange,
+                            status::conflict,
+                            "superseded",
+                            "a newer load order replaced this one");
       mIsLoading = false;
       mGenerator.ClearCache();
-      CarryOut(order, aExchange);
+      ExecuteOrder(order, aExchange);
     });
 }
 
 void
-engine_api::CarryOut(engine_order const& aOrder, exchange const& aExchange)
+engine_api::ExecuteOrder(engine_order const& aOrder, exchange const& aExchange)
 {
-  mDesk.Complete(aOrder);
+  mOrderHandler.Complete(aOrder);
   if (aOrder.mKind == engine_order_kind::UnloadWeights)
     mGenerator.ClearCache();
   RespondOk(*aExchange,
-            { { "model", mDesk.Model().Text() },
-              { "version", mDesk.Version().Text() },
-              { "role", mDesk.Role() },
-              { "adapters", mDesk.Adapters() },
+            { { "model", mOrderHandler.Model().Text() },
+              { "version", mOrderHandler.Version().Text() },
+              { "role", mOrderHandler.Role() },
+              { "adapters", mOrderHandler.Adapters() },
               { "incarnation", mIncarnation.Value() } });
 }
 
@@ -57,7 +59,7 @@
   });
   RespondOk(*aExchange,
             { { "incarnation", mIncarnation.Value() },
-              { "version", mDesk.Version().Text() },
+              { "version", mOrderHandler.Version().Text() },
               { "blocks", BlocksToJson(held) } });
 }
 
@@ -65,11 +67,11 @@
 engine_api::ImportBlocks(exchange const& aExchange)
 {
   json const body = json::parse(aExchange->Request().body());
-  if (body.at("version").get<std::string>() != mDesk.Version().Text())
+  if (body.at("version").get<std::string>() != mOrderHandler.Version().Text())
     return RespondError(*aExchange,
                         status::conflict,
                         "other_weights",
-                        "the blocks belong to other weights");
+                        "version is not the version of the loaded weights");
   mGenerator.Import(BlocksFromJson(body.at("blocks")));
   RespondOk(*aExchange, { { "incarnation", mIncarnation.Value() } });
 }
--- a/StandIns/Engine/EngineReports.cpp
+++ b/StandIns/Engine/EngineReports.cpp
@@ -21,7 +21,7 @@
 }
 
 void
-engine_api::TellLoad(exchange const& aExchange)
+engine_api::ReportLoad(exchange const& aExchange)
 {
   json load = LoadToJson(mGenerator.Load().Read(system_clock{}.Now()));
   load["id"] = mOptions.mId.Text();
@@ -30,16 +30,16 @@
   load["cache_blocks"] = mOptions.mSpeed.mCacheBlocks;
   load["tokens_per_second"] = mOptions.mSpeed.mTokensPerSecond;
   load["prefill_tokens_per_second"] = mOptions.mSpeed.mPrefillTokensPerSecond;
-  load["model"] = mDesk.Model().Text();
-  load["version"] = mDesk.Version().Text();
-  load["adapters"] = mDesk.Adapters();
-  load["role"] = mDesk.Role();
+  load["model"] = mOrderHandler.Model().Text();
+  load["version"] = mOrderHandler.Version().Text();
+  load["adapters"] = mOrderHandler.Adapters();
+  load["role"] = mOrderHandler.Role();
   load["is_loading"] = mIsLoading;
   RespondOk(*aExchange, load);
 }
 
 void
-engine_api::TellEvents(exchange const& aExchange)
+engine_api::ReportEvents(exchange const& aExchange)
 {
   event_sequence const from{ NumberIn(
     QueryValue(aExchange->Request(), "from")) };
@@ -47,17 +47,17 @@
   cache_event_log const& events = mGenerator.Events();
   RespondOk(*aExchange,
             { { "incarnation", mIncarnation.Value() },
-              { "version", mDesk.Version().Text() },
+              { "version", mOrderHandler.Version().Text() },
               { "earliest", events.Earliest().Value() },
               { "next", events.NextVisible(now).Value() },
               { "events", EventsToJson(events.From(from, now)) } });
 }
 
 void
-engine_api::TellCounts(exchange const& aExchange)
+engine_api::ReportCounts(exchange const& aExchange)
 {
   json counts = CountsToJson(mGenerator.Counts());
-  counts["stale_orders_accepted"] = mDesk.StaleAccepted();
+  counts["stale_orders_accepted"] = mOrderHandler.StaleAccepted();
   counts["incarnation"] = mIncarnation.Value();
   RespondOk(*aExchange, counts);
 }
