--- a/Libraries/LibAdmission/AdmissionRequest.h
+++ b/Libraries/LibAdmission/AdmissionRequest.h
@@ -13,8 +13,8 @@
   ticket mTicket;
   workspace_id mWorkspace;
   priority_class mPriority = priority_class::Normal;
-  /// What the request is charged to its workspace's share of the queue, in
-  /// tokens.
+  /// Tokens that the request takes from its workspace's deficit in the deficit
+  /// round robin.
   token_count mCost = 0;
   /// When the request expires unless it has been admitted.
   instant mDeadline{};
--- a/Libraries/LibAdmission/DeficitRoundRobin.cpp
+++ b/Libraries/LibAdmission/DeficitRoundRobin.cpp
@@ -23,8 +23,9 @@
 {
   if (mFlows.empty())
     return std::nullopt;
-  // Each round adds a quantum to every flow's deficit, so the loop ends after
-  // at most (largest cost / quantum) rounds.
+  // Each turn adds at least a quantum to its flow's deficit, so the loop ends
+  // after at most (largest cost / quantum, rounded up) rounds, not counting a
+  // turn that began in an earlier call.
   while (true) {
     workspace_flow& flow = mFlows.front();
     BeginTurn(flow, aWeights);
--- a/Libraries/LibAdmission/FairQueue.h
+++ b/Libraries/LibAdmission/FairQueue.h
@@ -23,7 +23,8 @@
 public:
   explicit fair_queue(fair_queue_options aOptions = {});
 
-  /// Sets a workspace's weight relative to the others; the default is 1.
+  /// Sets a workspace's weight relative to the others; the default is 1, and 0
+  /// counts as 1.
   void SetWeight(workspace_id const& aWorkspace, std::uint32_t aWeight);
 
   /// Adds a request unless a limit is reached. Its ticket must not be queued
@@ -45,6 +46,7 @@
   [[nodiscard]] std::size_t size() const noexcept { return mRequests.size(); }
 
 private:
+  /// Number of values of priority_class, which are the indices of mClasses.
   static constexpr std::size_t kClassCount = 3;
 
   struct waiting_request
@@ -66,8 +68,8 @@
   std::unordered_map<ticket, waiting_request> mRequests;
   std::unordered_map<workspace_id, std::size_t> mWaitingByWorkspace;
   std::set<std::pair<instant, ticket>> mDeadlines;
-  /// Admissions of higher classes, while a lower class waited, since one from a
-  /// lower class.
+  /// Admissions from a higher class while a lower class waited, counted since
+  /// the lower classes last got their one in mLowerClassInterval.
   std::uint32_t mSinceLowerClass = 0;
 };
 
--- a/Libraries/LibAdmission/RetryBudget.h
+++ b/Libraries/LibAdmission/RetryBudget.h
@@ -33,8 +33,7 @@
                           mOptions.mMaxAvailable);
   }
 
-  /// Earns retries for the time since the last call, when the options provide
-  /// for it.
+  /// Earns mRetriesPerSecond of the options for the time since the last call.
   void Refill(instant aNow)
   {
     double const seconds =
--- a/Libraries/LibAdmission/SlowStart.h
+++ b/Libraries/LibAdmission/SlowStart.h
@@ -7,7 +7,7 @@
 
 namespace lycheeseam {
 
-/// The share of requests that a backend server gets after a cold start, which
+/// The share of its window that a backend server gets after a cold start, which
 /// grows linearly with time.
 class slow_start
 {
--- a/Libraries/LibAdmission/WorkspaceFlow.h
+++ b/Libraries/LibAdmission/WorkspaceFlow.h
@@ -13,7 +13,8 @@
 {
   workspace_id mWorkspace;
   std::deque<admission_request> mWaiting;
-  /// Tokens that the flow may still admit in its turn.
+  /// Tokens that the flow may still admit in its turn; the rest is kept for its
+  /// next turn.
   token_count mDeficit = 0;
   /// True when the flow has received its quantum for the current turn.
   bool mHasTurn = false;
--- a/Libraries/LibDispatch/ChooseServer.cpp
+++ b/Libraries/LibDispatch/ChooseServer.cpp
@@ -8,8 +8,9 @@
 namespace {
 
 // Bounded loads: a server gets prompts while its pressure is at most
-// kLoadFactor times the mean pressure plus kLoadAllowance, which is a part of
-// its own capacity. Beyond, prompts go to the next server by rank.
+// kLoadFactor times the mean pressure plus kLoadAllowance, which is in the unit
+// of the pressure: 1 is a server's full capacity. Beyond this bound, prompts go
+// to the next server by rank.
 constexpr double kLoadFactor = 1.25;
 constexpr double kLoadAllowance = 0.12;
 
--- a/Libraries/LibDispatch/ChooseServer.h
+++ b/Libraries/LibDispatch/ChooseServer.h
@@ -9,11 +9,11 @@
 
 /// Returns the backend server for a request, or null when none is eligible.
 ///
-/// Model requests use rendezvous hashing with bounded loads, so that instances
-/// choose the same server for a prompt without communication. Servers with the
-/// newest weights are preferred until they are busy. Other requests go to the
-/// least loaded server; among equals, one in the instance's own failure domain
-/// is preferred.
+/// Model requests with a prompt key use rendezvous hashing with bounded loads,
+/// so that instances choose the same server for a prompt without communication.
+/// Other requests go to the least loaded server; among equals, one in the
+/// instance's own failure domain is preferred. For all model requests, servers
+/// with the newest weights are preferred until they are busy.
 tracked_server*
 ChooseServer(std::span<tracked_server* const> aServers,
              server_choice_request const& aRequest);
--- a/Libraries/LibDispatch/CrashTracker.cpp
+++ b/Libraries/LibDispatch/CrashTracker.cpp
@@ -10,7 +10,8 @@
 // marks the request as their cause.
 constexpr std::uint32_t kPoisonCrashes = 3;
 
-// Callers repeat a request that crashes servers within minutes.
+// How long a count is kept after the latest crash. Callers repeat a request
+// that crashes servers within minutes.
 constexpr duration kCrashLifetime = std::chrono::minutes{ 2 };
 
 }
--- a/Libraries/LibDispatch/DispatchRoute.h
+++ b/Libraries/LibDispatch/DispatchRoute.h
@@ -22,13 +22,16 @@
   std::vector<route_share> mShares;
   /// The longest time that a caller may wait for its answer.
   duration mTimeout{};
-  /// The time within which an answer has its full value.
+  /// The latency that an answer should keep; a later one is worth less to the
+  /// caller. A request waits for capacity for at most a part of it.
   duration mTargetLatency{};
   /// 0 is the most urgent.
   std::uint32_t mPriority = 0;
   /// The most servers that may run one request of a caller.
   std::uint32_t mMaxAttempts = 1;
+  /// True when requests need no API key; they are charged to no workspace.
   bool mIsPublic = false;
+  /// True when a stream can be resumed after the last event that was received.
   bool mIsResumable = false;
 
   /// True when a request may be retried although an attempt may have run.
--- a/Libraries/LibDispatch/DispatchWorkspace.h
+++ b/Libraries/LibDispatch/DispatchWorkspace.h
@@ -16,6 +16,7 @@
 {
   workspace_id mName;
   std::vector<std::string> mKeys;
+  /// Takes precedence over the route's priority; 0 is the most urgent.
   std::optional<std::uint32_t> mPriority;
   quota_unit mUnit = quota_unit::Requests;
   /// Charge of a request that states no token counts, in tokens.
--- a/Libraries/LibDispatch/FleetView.h
+++ b/Libraries/LibDispatch/FleetView.h
@@ -36,7 +36,8 @@
   /// Usage of the other instances since they started, summed by workspace.
   std::vector<workspace_usage> mPeerUsage;
   /// Usage of all instances in the quota window that ended when an instance
-  /// that has counted for a full window last reported.
+  /// that has counted for a full window last reported. Without such a report it
+  /// is the stored usage, and empty when there is none.
   std::vector<workspace_usage> mWindowUsage;
 
   /// The target weights of a model, or null.
--- a/Libraries/LibDispatch/QuotaLimiter.h
+++ b/Libraries/LibDispatch/QuotaLimiter.h
@@ -18,9 +18,10 @@
 /// Each instance counts its own admissions at once and those of the others as
 /// they report them. The share of an unresponsive instance counts as used, so
 /// that instances on both sides of a partition don't admit it twice. A starting
-/// instance doesn't know the earlier usage: until an instance that has counted
-/// for a full window reports, it assumes that the limit was used up evenly over
-/// the window, which admits more than the rate but no burst.
+/// instance doesn't know the earlier usage: until a view brings the window
+/// usage of the instances, it assumes that the limit was used up evenly over
+/// the window. While that assumed usage leaves the window, its units are
+/// admitted again, which is more than the rate but no burst.
 ///
 /// Reports of other instances are delayed. While the demand on all instances
 /// during this delay exceeds what the window has left, each instance admits a
@@ -37,8 +38,8 @@
   /// Updates the unresponsive instances and the usage of the others.
   void Apply(instant aNow, fleet_view const& aView);
 
-  /// Charges a request to its workspace; false when that would exceed the
-  /// limit.
+  /// Charges a request to its workspace; false when that would exceed the limit
+  /// or the random sample leaves the request out.
   [[nodiscard]] bool TryCharge(instant aNow,
                                dispatch_workspace const& aWorkspace,
                                double aUnits);
@@ -75,9 +76,13 @@
     quota_window mRecentDemand{ kDemandTime };
     /// Admitted by this instance since its start, in units.
     double mUsage = 0;
+    /// Requested from this instance since its start, admitted or not, in units.
     double mDemand = 0;
+    /// Usage and demand of the other instances in the latest view, in units.
     double mPeerUsage = 0;
     double mPeerDemand = 0;
+    /// True when the window holds the usage before the start, known or assumed,
+    /// or no longer reaches back that far.
     bool mIsInitialized = false;
     /// True when the window holds the assumed limit rather than known usage.
     bool mIsAssumed = false;
@@ -88,6 +93,8 @@
   account& Find(workspace_id const& aWorkspace);
   void ApplyWindowUsage(instant aNow,
                         std::vector<workspace_usage> const& aUsage);
+  /// Decides at random whether to admit a request; true when the headroom
+  /// covers the demand that reports don't show yet.
   [[nodiscard]] bool IsSampled(instant aNow,
                                account& aAccount,
                                double aHeadroom);
--- a/Libraries/LibDispatch/QuotaWindow.h
+++ b/Libraries/LibDispatch/QuotaWindow.h
@@ -38,6 +38,7 @@
   /// One bucket more than the window has, since the oldest one is still partly
   /// within the window.
   std::array<double, kBuckets + 1> mUnits{};
+  /// Number of the newest bucket, counted from the clock's epoch.
   std::int64_t mNewest = 0;
   double mSum = 0;
 };
--- a/Libraries/LibDispatch/ServerChoiceRequest.h
+++ b/Libraries/LibDispatch/ServerChoiceRequest.h
@@ -14,8 +14,9 @@
 struct server_choice_request
 {
   instant mNow{};
+  /// The failure domain of this instance.
   failure_domain mDomain;
-  /// Hash of the prompt's shared part; nothing for servers that run no model.
+  /// Hash of the prompt's shared part; nothing when the request has none.
   std::optional<std::uint64_t> mPromptKey;
   /// Empty for servers that run no model.
   model_name mModel;
--- a/Libraries/LibDispatch/TrackedServer.h
+++ b/Libraries/LibDispatch/TrackedServer.h
@@ -17,6 +17,7 @@
   /// Hash of the server's id, for its rendezvous rank.
   std::uint64_t mSeed = 0;
   circuit_breaker mBreaker;
+  /// True while a rolling update loads weights on it; it gets no new requests.
   bool mIsUpdating = false;
   /// Tokens that fit in its KV cache; 0 for servers that run no model.
   token_count mMemoryTokens = 0;
@@ -24,6 +25,7 @@
   std::uint32_t mInFlight = 0;
   /// Tokens of their prompts and expected answers.
   token_count mInFlightTokens = 0;
+  /// The load that the server last reported to this instance.
   std::optional<reported_load> mLoad;
   /// Moving average of the tokens of this instance's requests.
   double mAverageTokens = 0;
