--- a/Libraries/LibLimits/BorrowingAccount.cpp
+++ b/Libraries/LibLimits/BorrowingAccount.cpp
@@ -46,6 +46,8 @@
 borrowing_account::Enqueue(charge_request const& aRequest)
 {
   charge_request charge = aRequest;
+  // A charge above the burst could never be covered, so the rest of the debt is
+  // left to the next charges.
   token_count const headroom =
     std::max<token_count>(0, mBurst - charge.mTokens);
   token_count const debt = std::min(mDebt, headroom);
@@ -128,6 +130,7 @@
   if (found == mOpenRequests.end())
     return;
   open_request& request = found->second;
+  // An answer of NotHolder has no claim and no balance.
   if (aGrant.mClaim != log_offset{})
     mLenders.OnBalance(aNow, aGrant.mSlot, aGrant.mLeft);
   if (aGrant.mResult == grant_result::Queued) {
--- a/Libraries/LibLimits/BorrowingAccount.h
+++ b/Libraries/LibLimits/BorrowingAccount.h
@@ -77,7 +77,8 @@
     return !mUnreported.empty();
   }
 
-  /// When a request, a deadline or a pause ends next.
+  /// When a token request times out, a deadline passes or a slot's pause ends
+  /// next.
   [[nodiscard]] std::optional<instant> NextWake(instant aNow) const;
 
 private:
@@ -104,7 +105,7 @@
   loan_balance mLoanBalance;
   std::deque<charge_request> mWaiting;
   std::map<std::uint64_t, open_request> mOpenRequests;
-  /// The sum of the open requests.
+  /// The tokens of all open requests together.
   token_count mRequestedTokens = 0;
   std::map<slot_id, token_report> mUnreported;
 };
--- a/Libraries/LibLimits/BudgetBorrower.h
+++ b/Libraries/LibLimits/BudgetBorrower.h
@@ -40,8 +40,9 @@
                token_grant const& aGrant,
                slot_fold const& aSlots);
 
-  /// Settles the charge of an admitted request that has ended and refunds the
-  /// unused tokens to their lenders. aUsed is 0 for a request that did not run.
+  /// Settles the charge of an admitted request that has ended: refunds the
+  /// unused tokens to their lenders, or adds usage beyond the charge to the
+  /// workspace's next charges. aUsed is 0 for a request that did not run.
   void Settle(charge_id aCharge, token_count aUsed, slot_fold const& aSlots);
 
   /// Drops the waiting charge of a caller that disconnected.
--- a/Libraries/LibLimits/BudgetLender.h
+++ b/Libraries/LibLimits/BudgetLender.h
@@ -85,6 +85,7 @@
     slot_account mTokens;
     std::deque<queued_request> mWaiting;
     token_count mWaitingTokens = 0;
+    /// When Tick serves the queue next, if requests wait.
     instant mServeAt;
   };
 
--- a/Libraries/LibLimits/BudgetTiming.h
+++ b/Libraries/LibLimits/BudgetTiming.h
@@ -13,13 +13,15 @@
   /// How long a lender counts a loan against its burst, from when it lent it;
   /// longer than mBorrowerLoanExpiry by the drift between two clocks.
   duration mLenderLoanExpiry = std::chrono::milliseconds{ 2020 };
-  /// How long a holder may lend after it last read the log's tail.
+  /// How long a holder may lend after it last read the log's tail or, during an
+  /// outage of the log, after it sent the last probe that a majority answered.
   duration mConfirmBound = std::chrono::seconds{ 1 };
   /// How long a slot taken over from another instance accrues no tokens: the
   /// former holder may still lend for mConfirmBound, and its loans last
   /// mLenderLoanExpiry.
   duration mTakeoverWait = std::chrono::milliseconds{ 3100 };
-  /// How long a quorum answer counts, from when its probe was sent.
+  /// How long the unresponsive holders of a quorum answer count for
+  /// slot_release, from when its probe was sent.
   duration mAnswerBound = std::chrono::milliseconds{ 900 };
   /// How long no message of an instance must arrive until it is reported
   /// unresponsive; more than mConfirmBound and mAnswerBound together.
--- a/Libraries/LibLimits/LenderSelector.h
+++ b/Libraries/LibLimits/LenderSelector.h
@@ -22,8 +22,9 @@
   /// Applies new limits.
   void SetShare(slot_share aShare) noexcept { mShare = aShare; }
 
-  /// Requests that together cover aTokens, as few as the balances allow; empty
-  /// while every slot is paused or has no holder.
+  /// Requests that together cover aTokens, as few as the balances allow. They
+  /// cover less if the bursts of the usable slots do; empty while every slot is
+  /// paused or has no holder.
   std::vector<slot_request> Plan(instant aNow,
                                  token_count aTokens,
                                  slot_fold const& aSlots,
@@ -41,6 +42,8 @@
 private:
   struct slot_view
   {
+    /// The balance last reported, less the tokens planned since; may be
+    /// negative.
     token_count mLeft = 0;
     instant mReportedAt;
     instant mPausedUntil;
--- a/Libraries/LibLimits/LendingQuorum.cpp
+++ b/Libraries/LibLimits/LendingQuorum.cpp
@@ -68,6 +68,7 @@
 lending_quorum::MajorityContactAt() const
 {
   // Slots held here always count; others must make up the rest of a majority.
+  // An instance that holds a majority itself needs no contact, see StateAt.
   if (mOwnSlots.size() >= Majority())
     return {};
   std::size_t const others = Majority() - mOwnSlots.size();
--- a/Libraries/LibLimits/LendingQuorum.h
+++ b/Libraries/LibLimits/LendingQuorum.h
@@ -17,9 +17,10 @@
 ///
 /// It may lend for mConfirmBound after it has read the log's tail. During an
 /// outage of the log it may go on while it has had contact, without a break
-/// since that read, with the holders of more than half of the slots. This is
-/// safe because a slot that another instance claims opens only when such a
-/// majority reports its former holder unresponsive (slot_release), and any two
+/// since that read, with the holders of more than half of the slots, or while
+/// it holds that many itself. This is safe because a slot that another instance
+/// claims opens only when its former holder has folded the claim or such a
+/// majority reports that holder unresponsive (slot_release), and any two
 /// majorities share a slot.
 class lending_quorum
 {
--- a/Libraries/LibLimits/LoanBalance.h
+++ b/Libraries/LibLimits/LoanBalance.h
@@ -17,8 +17,8 @@
   /// Drops the expired loans with their unspent tokens.
   void Expire(instant aNow);
 
-  /// Spends tokens, from the loan that expires first on. Available must cover
-  /// them.
+  /// Spends tokens of the loans in the order of their expiry. Available must
+  /// cover them.
   std::vector<charge_part> Take(token_count aTokens);
 
   /// The tokens that can be spent as of the last Expire.
@@ -27,6 +27,7 @@
 private:
   struct held_loan
   {
+    /// The loan with its unspent tokens.
     charge_part mLeft;
     instant mExpiresAt;
   };
--- a/Libraries/LibLimits/SlotAccount.h
+++ b/Libraries/LibLimits/SlotAccount.h
@@ -64,7 +64,7 @@
   instant mAccruedAt;
   token_count mBalance = 0;
   token_count mOutstanding = 0;
-  /// Accrual below one token, in tokens * microseconds * slots.
+  /// Accrual below one token, in units of 1 / (10^6 * mSlotCount) token.
   token_count mFraction = 0;
   loan_id mLastLoan;
   /// Ordered by expiry.
--- a/Libraries/LibLimits/SlotHolder.h
+++ b/Libraries/LibLimits/SlotHolder.h
@@ -9,7 +9,7 @@
 /// The instance that holds a slot according to the log.
 struct slot_holder
 {
-  /// How many former holders are kept at most.
+  /// How many former holders are kept at most; the earliest is dropped first.
   static constexpr std::size_t kMaxFormerHolders = 8;
 
   instance_id mInstance;
--- a/Libraries/LibLimits/SlotLayout.h
+++ b/Libraries/LibLimits/SlotLayout.h
@@ -10,7 +10,7 @@
 {
   /// Slots are numbered from 1 to mSlots.
   std::uint32_t mSlots = 8;
-  /// The most slots of one workspace.
+  /// The most slots that the tokens of one workspace are divided among.
   std::uint32_t mSlotsPerWorkspace = 8;
 
   bool operator==(slot_layout const&) const = default;
--- a/Libraries/LibLimits/SlotTakeover.h
+++ b/Libraries/LibLimits/SlotTakeover.h
@@ -20,8 +20,10 @@
 /// a free slot shortly after the start, and another instance's slot when that
 /// has been missing from the platform's list for long enough. An instance
 /// without a slot also takes one from a holder of several. Candidates wait by
-/// rank, so that usually only one claims. The log decides between several
-/// claims, and slot_release makes a wrong takeover harmless.
+/// rank, so that usually only one claims: the fewer slots an instance holds,
+/// the earlier it claims; a hash of the slot and the instance decides ties. The
+/// log decides between several claims, and slot_release makes a wrong takeover
+/// harmless.
 class slot_takeover
 {
 public:
--- a/Libraries/LibLimits/TokenRefund.h
+++ b/Libraries/LibLimits/TokenRefund.h
@@ -5,7 +5,7 @@
 
 namespace lycheeseam {
 
-/// Returns charged tokens that a request did not use to their lender. It is
+/// Returns to their lender the charged tokens that a request did not use. It is
 /// sent once and never retried; the lender ignores it when the slot has been
 /// claimed again since.
 struct token_refund
