--- a/Libraries/LibOnce/AttemptFailure.h
+++ b/Libraries/LibOnce/AttemptFailure.h
@@ -11,7 +11,8 @@
   BrokenBeforeAnswer,
   /// The connection closed within the answer.
   BrokenInAnswer,
-  /// The first byte did not arrive in time; the server may still be working.
+  /// The first byte of the answer did not arrive in time; the server may still
+  /// be working.
   TimedOut,
 };
 
--- a/Libraries/LibOnce/ClaimFold.cpp
+++ b/Libraries/LibOnce/ClaimFold.cpp
@@ -85,7 +85,7 @@
   for (request_claim const& claim : aBatch.mClaims) {
     claim_identity const identity{ .mOwner = OwnerOf(aBatch),
                                    .mNumber = claim.mNumber };
-    // The release is kept, since the same claim may be appended a second time.
+    // The release is kept, since the same claim may land a second time.
     if (mReleased.contains(identity))
       continue;
     if (IsFull() || mClaims.contains(claim.mKey))
--- a/Libraries/LibOnce/ClaimFold.h
+++ b/Libraries/LibOnce/ClaimFold.h
@@ -77,7 +77,7 @@
   /// Claims and releases to expire, oldest first.
   std::deque<aged_key> mClaimAges;
   std::deque<aged_release> mReleaseAges;
-  /// Keys whose stored answers are dropped first, oldest first.
+  /// Keys with stored answers, in the order in which the answers are dropped.
   std::deque<aged_key> mBodyAges;
   std::size_t mBodyBytes = 0;
 };
--- a/Libraries/LibOnce/ClaimWindow.h
+++ b/Libraries/LibOnce/ClaimWindow.h
@@ -9,8 +9,8 @@
 /// window, so that their folds agree.
 struct claim_window
 {
-  /// The number of log entries after which a claim expires; far more than the
-  /// entries by which an append may be delayed.
+  /// The number of log entries after which a claim expires; far more than
+  /// batch_limits::mClaimOffsets, the entries by which a claim may be delayed.
   std::uint64_t mOffsets = 100'000;
   /// The maximum number of claims; further claims are refused.
   std::size_t mMaxClaims = 100'000;
--- a/Libraries/LibOnce/CrashReport.h
+++ b/Libraries/LibOnce/CrashReport.h
@@ -7,8 +7,9 @@
 
 namespace lycheeseam {
 
-/// Reports to all instances that a backend server crashed, and the fingerprints
-/// that the sender had running on it.
+/// Reports to all instances that a backend server crashed, and fingerprints
+/// that were running on it: those of the sender's own requests, or those for
+/// which the sender, as their owner, had granted permits.
 struct crash_report
 {
   server_identity mServer;
--- a/Libraries/LibOnce/FingerprintOwner.cpp
+++ b/Libraries/LibOnce/FingerprintOwner.cpp
@@ -11,6 +11,7 @@
 
 namespace {
 
+/// Selects a name for a key by rendezvous hashing.
 template<typename Name>
 Name
 HighestScore(std::uint64_t aKey, std::span<Name const> aNames)
--- a/Libraries/LibOnce/FingerprintOwner.h
+++ b/Libraries/LibOnce/FingerprintOwner.h
@@ -7,9 +7,10 @@
 
 namespace lycheeseam {
 
-/// Returns the server of a pool on which a fingerprint may run without a permit
-/// or as a suspect. aServers is every server of the pool's row, including those
-/// that are down, so that all instances select the same one.
+/// Returns the server of a pool on which a fingerprint may run without a
+/// permit, and the only one on which it may run as a suspect, after it ran on a
+/// server that crashed. aServers is every server of the pool's row, including
+/// those that are down, so that all instances select the same one.
 backend_server_id
 FallbackServer(digest const& aFingerprint,
                std::span<backend_server_id const> aServers);
--- a/Libraries/LibOnce/OnceGate.cpp
+++ b/Libraries/LibOnce/OnceGate.cpp
@@ -7,8 +7,9 @@
 
 namespace {
 
-/// The maximum time between winning a claim and sending the request; far less
-/// than the time after which a claim expires.
+/// The maximum time between the decision Run and sending the request; far less
+/// than the log takes to grow by claim_window::mOffsets entries, after which
+/// the claim expires.
 constexpr duration kMaxDispatchDelay = std::chrono::seconds{ 5 };
 
 }
--- a/Libraries/LibOnce/OnceGate.h
+++ b/Libraries/LibOnce/OnceGate.h
@@ -27,7 +27,8 @@
             claim_window aWindow);
 
   /// Starts on a new request. TakeDecisions returns its decision, at once or
-  /// after the log has shown which claim holds the key.
+  /// after the log has shown which claim holds the key. An idempotent request,
+  /// or one without a key, needs no claim and is decided to run at once.
   template<owner_liveness Liveness>
   void Begin(instant aNow,
              once_request const& aRequest,
--- a/Libraries/LibOnce/RetryPolicy.h
+++ b/Libraries/LibOnce/RetryPolicy.h
@@ -11,7 +11,8 @@
 /// A non-idempotent request is retried only when no byte of any attempt was
 /// sent. An idempotent request is retried once after an attempt that may have
 /// run, and in the same failure domain, so that a request that crashes servers
-/// does not reach a second failure domain.
+/// does not reach a second failure domain. No request is retried after three
+/// attempts of which no byte was sent.
 retry_target
 RetryTargetFor(attempt_history const& aHistory);
 
--- a/Libraries/LibOrders/LeaseTiming.h
+++ b/Libraries/LibOrders/LeaseTiming.h
@@ -9,7 +9,8 @@
 /// How leases are acquired and renewed.
 struct lease_timing
 {
-  /// How long a lease lasts, counted from before its grant was appended.
+  /// How long a lease lasts. Its holder counts from before it appended the
+  /// grant, the other candidates from when they read it.
   std::chrono::milliseconds mTerm{ 6'000 };
   /// How long before the end of the lease its holder stops giving orders. It
   /// covers the delivery time of an order and the drift between two clocks.
--- a/Libraries/LibOrders/OrderPlanner.h
+++ b/Libraries/LibOrders/OrderPlanner.h
@@ -19,6 +19,7 @@
 class order_planner
 {
 public:
+  /// aOrderWait is how long an unconfirmed order counts as loading.
   explicit order_planner(duration aOrderWait)
     : mOrderWait(aOrderWait)
   {
