--- a/Libraries/LibMembership/BackendMembership.cpp
+++ b/Libraries/LibMembership/BackendMembership.cpp
@@ -61,7 +61,8 @@
   server_state const& known = found->second;
   if (known.mState == member_state::Leaving)
     return backend_availability::Leaving;
-  // A plain service never reports; the pools alone decide on it.
+  // A server that is a plain service, not an engine, never reports; the pools
+  // alone decide on it.
   if (known.mIncarnation && aNow - known.mReportedAt >= mOptions.mReportTimeout)
     return backend_availability::Unresponsive;
   return backend_availability::Usable;
--- a/Libraries/LibMembership/BackendMembership.h
+++ b/Libraries/LibMembership/BackendMembership.h
@@ -23,8 +23,9 @@
   /// Sets the pools in force; discards the state of servers in none of them.
   void SetPools(std::span<pool_row const> aPools);
 
-  /// Records a server's report; ignores one of an incarnation older than the
-  /// newest known. Returns true for the first report of a new incarnation.
+  /// Records a server's report; ignores one of a server in no pool or of an
+  /// incarnation older than the newest known. Returns true for the first report
+  /// of a new incarnation.
   bool OnReport(backend_report const& aReport, instant aNow);
 
   /// The newest known incarnation; nothing before the first report.
@@ -37,7 +38,8 @@
     instant aNow) const;
 
   /// The check right before dispatch, after any wait: the server must still be
-  /// usable and run the incarnation for which it was chosen.
+  /// usable and run the incarnation for which it was chosen, where one was
+  /// known.
   [[nodiscard]] backend_availability AvailabilityAtDispatch(
     backend_server_id const& aServer,
     std::optional<incarnation> aChosenIncarnation,
--- a/Libraries/LibMembership/DomainCode.h
+++ b/Libraries/LibMembership/DomainCode.h
@@ -9,7 +9,6 @@
 /// suffice, as a fleet has some dozen failure domains.
 using domain_code = ordinal<struct domain_code_tag>;
 
-/// The code of a failure domain.
 domain_code
 DomainCode(failure_domain const& aDomain);
 
--- a/Libraries/LibMembership/DomainObservation.h
+++ b/Libraries/LibMembership/DomainObservation.h
@@ -7,7 +7,7 @@
 namespace lycheeseam {
 
 /// How long ago an instance of a failure domain was last known to be running,
-/// by this instance's own observation or by a peer's report.
+/// as the instance that reports it observed or learnt from its own peers.
 struct domain_observation
 {
   domain_code mDomain;
--- a/Libraries/LibMembership/Member.h
+++ b/Libraries/LibMembership/Member.h
@@ -12,7 +12,9 @@
 {
   instance_identity mIdentity;
   failure_domain mFailureDomain;
+  /// The address for callers' requests.
   endpoint mCallers;
+  /// The address for links from other instances.
   endpoint mPeers;
   member_state mState = member_state::Live;
 
--- a/Libraries/LibMembership/QuietLinkOptions.h
+++ b/Libraries/LibMembership/QuietLinkOptions.h
@@ -17,7 +17,9 @@
   duration mQuietInterval = std::chrono::milliseconds{ 1500 };
   /// The time between two pings of an unresponsive peer.
   duration mPingInterval = std::chrono::milliseconds{ 300 };
-  /// The number of unanswered pings after which the peer counts as dead.
+  /// The number of unanswered pings after which the peer counts as dead, one
+  /// ping interval after the last: with these values 3 s after its last
+  /// message.
   std::uint32_t mPingLimit = 5;
 };
 
--- a/Libraries/LibPlacement/BlockMap.h
+++ b/Libraries/LibPlacement/BlockMap.h
@@ -47,8 +47,8 @@
                 token_count aCachedTokens,
                 instant aNow);
 
-  /// How much of a prompt the server's incarnation has cached; nothing if the
-  /// map knows the server by another incarnation.
+  /// How much of a prompt the server's incarnation likely has cached; zero
+  /// tokens if the map doesn't know the server or knows another incarnation.
   [[nodiscard]] known_prefix Find(backend_server_id const& aServer,
                                   incarnation aIncarnation,
                                   std::span<block_hash const> aBlocks,
@@ -86,6 +86,8 @@
   void RecordSend(cached_server const& aServer,
                   std::span<block_hash const> aBlocks,
                   instant aNow);
+  /// Corrects the estimated retention by an answer, which shows which blocks
+  /// of a sent prompt were still cached.
   void AdjustRetention(cached_server& aServer,
                        std::span<block_hash const> aBlocks,
                        std::size_t aCachedBlocks);
--- a/Libraries/LibPlacement/BlockShard.cpp
+++ b/Libraries/LibPlacement/BlockShard.cpp
@@ -18,7 +18,8 @@
 
 constexpr incarnation kStoreIncarnation{ 1 };
 
-// The initial estimate of how long the store keeps unused pieces.
+// The estimate of how long the store keeps unused pieces; no answer corrects
+// it.
 constexpr duration kStoreRetention = std::chrono::seconds{ 60 };
 
 // The store's map has one eighth as many entries as the map of the servers.
@@ -58,6 +59,7 @@
 void
 block_shard::OnStored(std::span<block_hash const> aBlocks, instant aNow)
 {
+  // No send was recorded, so the 0 cached tokens don't adjust the retention.
   mStore.OnAnswer(StoreName(), kStoreIncarnation, aBlocks, 0, aNow);
 }
 
--- a/Libraries/LibPlacement/PlacementChoice.h
+++ b/Libraries/LibPlacement/PlacementChoice.h
@@ -15,8 +15,9 @@
   std::size_t mIndex = 0;
   backend_server_id mServer;
   placement_reason mReason = placement_reason::RoundRobin;
-  /// The expected cost, as time to the first token; zero for a policy without a
-  /// cost model.
+  /// The expected cost: the time to the first token, and what computing the
+  /// prompt costs the requests queued behind. Zero for a policy without a cost
+  /// model.
   duration mExpectedCost{};
   /// The number of tokens that the server is expected to have cached.
   token_count mExpectedCached = 0;
--- a/Libraries/LibPlacement/PrefixCostPolicy.h
+++ b/Libraries/LibPlacement/PrefixCostPolicy.h
@@ -34,6 +34,7 @@
   [[nodiscard]] duration ExpectedWait(placement_request const& aRequest,
                                       placement_candidate const& aCandidate,
                                       instant aNow) const;
+  /// The time to compute the tokens, plus its cost to requests queued behind.
   [[nodiscard]] duration PrefillTime(token_count aTokens) const;
   [[nodiscard]] duration ImportTime(token_count aTokens) const;
 
--- a/Libraries/LibPlacement/ServerLoad.h
+++ b/Libraries/LibPlacement/ServerLoad.h
@@ -14,7 +14,7 @@
   token_count mQueuedTokens = 0;
   /// The number of requests whose answers are being generated.
   std::uint32_t mRunning = 0;
-  /// When the server measured this, as far as the reader can tell.
+  /// When the server measured this, as far as the receiver can tell.
   instant mMeasuredAt{};
 };
 
--- a/Libraries/LibPlacement/TokenEstimate.h
+++ b/Libraries/LibPlacement/TokenEstimate.h
@@ -16,7 +16,7 @@
 /// Bytes of prompt text in one block of a prefix chain.
 inline constexpr std::size_t kBlockBytes = kBlockTokens * kBytesPerToken;
 
-/// Tokens in one piece of the KV store.
+/// Tokens in one piece, the unit in which the KV store keeps prompts.
 inline constexpr token_count kPieceTokens = 16 * kBlockTokens;
 
 /// Estimates the number of tokens in a text of aBytes bytes, rounded up.
