--- a/Libraries/LibPlacement/BlockEntry.h
+++ b/Libraries/LibPlacement/BlockEntry.h
@@ -22,8 +22,8 @@
   std::uint32_t mIsFromRequest : 1 = 0;
 };
 
-// 140 million blocks over 330 instances make 424,000 entries for each. As only
-// 5 of 8 entries of a bucket are planned to be used, each takes about 26 bytes.
+// 140 million blocks over 330 instances make 424,000 entries for each. With a
+// third of the table kept free, an entry takes about 24 bytes.
 static_assert(sizeof(block_entry) == 16);
 
 }
--- a/Libraries/LibPlacement/BlockMapOptions.h
+++ b/Libraries/LibPlacement/BlockMapOptions.h
@@ -10,7 +10,7 @@
 /// Size and time limits of block_map.
 struct block_map_options
 {
-  /// The number of entries that should fit; about 26 bytes each.
+  /// The number of entries that should fit; 24 to 26 bytes each.
   std::size_t mEntries = 424'000;
   /// The initial estimate of how long engines keep an unused block. Misses
   /// correct an estimate that is too long; one that is too short is never
--- a/Libraries/LibPlacement/BlockTable.cpp
+++ b/Libraries/LibPlacement/BlockTable.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-// The planned number of used entries per bucket. With 5 of 8 in use, few
-// buckets overflow.
+// The planned number of used entries per bucket. With about two thirds in use,
+// few buckets overflow.
 constexpr std::size_t kPlannedPerBucket = 5;
 
 // An odd constant with well-mixed bits (2^64 divided by the golden ratio).
