--- a/Libraries/LibControl/CallState.h
+++ b/Libraries/LibControl/CallState.h
@@ -19,12 +19,14 @@
   call_phase mPhase = call_phase::Claiming;
   /// The prompt's blocks; empty for plain calls.
   prefix_chain mChain;
-  /// Tokens charged in advance: the prompt and the longest answer.
+  /// Tokens charged in advance, as returned by CallCost.
   token_count mCharged = 0;
+  /// The number of the latest attempt; 0 before the first is sent.
   attempt_number mAttempt;
-  /// The backend server of the running attempt.
+  /// The backend server of the latest attempt.
   backend_server mServer;
-  /// True once the head of a streamed answer was forwarded to the caller.
+  /// True once an attempt was interrupted after it forwarded the head of a
+  /// streamed answer; later attempts continue that answer.
   bool mHasBegun = false;
   /// The text forwarded by earlier, interrupted attempts of a streamed answer.
   std::string mForwardedText;
--- a/Libraries/LibControl/PoolRuntime.h
+++ b/Libraries/LibControl/PoolRuntime.h
@@ -113,6 +113,8 @@
     if (found == mServers.end())
       return;
     server_runtime& server = found->second;
+    // The window may be empty if the server was removed and added again, or its
+    // address changed, while the attempt ran.
     if (server.mWindow.Outstanding() > 0)
       server.mWindow.Release();
     if (aResult == attempt_result::Answered)
--- a/Libraries/LibControl/PoolTable.h
+++ b/Libraries/LibControl/PoolTable.h
@@ -30,7 +30,8 @@
   }
 
   /// Returns the pool that a call runs on. A pool that was removed meanwhile is
-  /// created again without servers, so that its remaining calls end normally.
+  /// created again without servers, so that calls that run on it or are not yet
+  /// queued end normally.
   pool_runtime<Policy>& Of(call_state const& aCall)
   {
     return mPools[aCall.mAdmitted.mPool.mName];
--- a/Libraries/LibControl/RequestDirector.h
+++ b/Libraries/LibControl/RequestDirector.h
@@ -88,8 +88,8 @@
     Tick(aNow);
   }
 
-  /// Ends the call of a disconnected caller in any phase, unless an attempt of a
-  /// claimed call is running.
+  /// Ends the call of a disconnected caller in any phase, unless an attempt of
+  /// a claimed call is running.
   void Handle(caller_disconnected aDisconnected, instant aNow)
   {
     call_state* const found = mCalls.Find(aDisconnected.mCall);
@@ -120,7 +120,8 @@
     Tick(aNow);
   }
 
-  /// Resumes, retries or finishes the call whose attempt ended.
+  /// Resumes, retries or finishes the call whose attempt ended; ignores the end
+  /// of an attempt that is not the call's latest.
   void Handle(upstream_end aEnd, instant aNow)
   {
     call_state* const found = mCalls.Find(aEnd.mCall);
--- a/Libraries/LibControl/RequestDirectorAttempts.h
+++ b/Libraries/LibControl/RequestDirectorAttempts.h
@@ -67,6 +67,8 @@
 }
 
 // A connection that breaks during an attempt counts as a crash of the server.
+// The report names no incarnation, so repeated crashes of one server count as
+// one.
 template<control_ports Ports, instance_view View, placement_policy Policy>
 void
 request_director<Ports, View, Policy>::RecordCrash(call_state const& aCall,
--- a/Libraries/LibControl/RetryDecision.cpp
+++ b/Libraries/LibControl/RetryDecision.cpp
@@ -4,6 +4,8 @@
 
 namespace {
 
+// The limit after an attempt that got no connection to its server; the first
+// attempt counts.
 constexpr attempt_number kMaxAttempts{ 3 };
 // A request on which two backend servers failed may have caused it and is not
 // sent to a third one.
--- a/Libraries/LibControl/RetryDecision.h
+++ b/Libraries/LibControl/RetryDecision.h
@@ -15,7 +15,8 @@
 
 /// Decides whether to retry after an attempt's end. An attempt is not retried
 /// once bytes of its answer were forwarded to the caller; a non-idempotent
-/// request is retried only if it certainly did not run.
+/// request is retried only if the server was not connected, so that it
+/// certainly did not run.
 retry_decision
 DecideRetry(route_row const& aRoute,
             attempt_number aAttempt,
--- a/Libraries/LibControl/ServerRuntime.h
+++ b/Libraries/LibControl/ServerRuntime.h
@@ -12,7 +12,9 @@
 struct server_runtime
 {
   backend_server mRow;
+  /// The incarnation in the latest load report; 0 before the first report.
   incarnation mIncarnation;
+  /// The latest load report.
   server_load mLoad;
   /// Uncached prompt tokens sent since the last load report.
   token_count mSentTokens = 0;
--- a/Libraries/LibRouter/ControlCore.cpp
+++ b/Libraries/LibRouter/ControlCore.cpp
@@ -122,8 +122,8 @@
 
 // Sends the messages and records that decisions have queued. A budget message
 // to this instance itself may queue further ones; SendBudgetMessages loops
-// until none is left. The flag guards against re-entry from the director's
-// Tick.
+// until none is left. Messages that the director's Tick queues after that wait
+// for the next call. The flag guards against re-entry.
 void
 control_core::SendPending()
 {
--- a/Libraries/LibRouter/ControlCore.h
+++ b/Libraries/LibRouter/ControlCore.h
@@ -51,8 +51,9 @@
   /// Handles a message from a traffic thread.
   void Handle(control_message aMessage);
 
-  /// Begins a planned stop; calls aDone on this thread once no call is open or
-  /// the time limit for the stop has passed.
+  /// Begins a planned stop. Requests are accepted until callers no longer use
+  /// this instance's address; then calls aDone on this thread once no call is
+  /// open or the time limit for the stop has passed.
   void BeginDrain(std::function<void()> aDone);
 
   /// Runs an operator's call; calls aDone on this thread.
@@ -80,6 +81,7 @@
   // The longest delay with which a pause of this process is detected and
   // periodic work is done.
   static constexpr std::chrono::milliseconds kTickInterval{ 200 };
+  // How often this instance requests the instance list and registers again.
   static constexpr std::chrono::milliseconds kListInterval{ 1000 };
 
   void Tick();
@@ -136,7 +138,9 @@
   request_director<traffic, instance_status, rendezvous_policy> mDirector;
   peer_hub<control_core, quiet_link_supervisor, system_clock> mHub;
   admin_call_handler<control_core> mAdmin;
+  // The workspaces whose limits were passed to the budget.
   std::set<workspace_id> mLimitedWorkspaces;
+  // The version of the tables that were last published.
   row_version mPublished;
   instant mNextTick{};
   instant mNextListRequest{};
--- a/Libraries/LibRouter/FormatInstances.cpp
+++ b/Libraries/LibRouter/FormatInstances.cpp
@@ -10,6 +10,7 @@
                 failure_domain const& aDomain,
                 std::chrono::milliseconds aTimeToLive)
 {
+  // The seed of the order is fixed: all callers get the same body.
   std::vector<caller_address> const addresses =
     ChooseCallerAddresses(aUsable, aDomain, 0, caller_address_options{});
   nlohmann::json instances = nlohmann::json::array();
--- a/Libraries/LibRouter/InstanceStatus.h
+++ b/Libraries/LibRouter/InstanceStatus.h
@@ -49,11 +49,14 @@
 
 private:
   instance_identity mSelf;
+  // The age of the latest tail read above which the log counts as unreachable:
+  // the longest wait of a log read plus the freshness bound.
   duration mLogBound;
   member_table mMembers;
   freshness mFreshness;
   drain_state mDrain;
   std::vector<instance_id> mLinked;
+  // When the latest read that reached the tail was sent.
   std::optional<instant> mTailReadAt;
 };
 
--- a/Libraries/LibRouter/Router.h
+++ b/Libraries/LibRouter/Router.h
@@ -25,8 +25,9 @@
   router& operator=(router const&) = delete;
   ~router();
 
-  /// Runs a planned stop: accepts no new callers, finishes open calls, and
-  /// returns when no call is open or the settings' time limit has passed.
+  /// Runs a planned stop: accepts requests until callers no longer use this
+  /// instance's address, then finishes open calls, and returns when no call is
+  /// open or the settings' time limit has passed.
   void Drain();
 
 private:
