--- a/Meta/CMake/Dependencies.cmake
+++ b/Meta/CMake/Dependencies.cmake
@@ -1,4 +1,4 @@
-# Every outside library that a package may link, found once for the workspace.
+# Finds every external library that a package may link.
 find_package(PkgConfig REQUIRED)
 find_package(Threads REQUIRED)
 find_package(Boost 1.81 REQUIRED)
--- a/Meta/CMake/Package.cmake
+++ b/Meta/CMake/Package.cmake
@@ -1,7 +1,7 @@
-# A package is a folder with a CMakeLists.txt; these functions keep those to
-# one line each, so that adding a file never touches a build script.
+# A package is a folder with a CMakeLists.txt that calls one of these functions.
+# Sources are found by pattern, so adding a file changes no build script.
 
-# Adds every package below a folder.
+# Adds every package directly below a folder.
 function(lycheeseam_add_packages folder)
   file(GLOB packages CONFIGURE_DEPENDS ${CMAKE_SOURCE_DIR}/${folder}/*/CMakeLists.txt)
   foreach(package ${packages})
@@ -10,7 +10,8 @@
   endforeach()
 endfunction()
 
-# Defines a library from all sources in the current folder; DEPENDS are linked publicly.
+# Defines a static library from all sources in the current folder, or an
+# interface library if there are none. DEPENDS are linked publicly.
 function(lycheeseam_library name)
   cmake_parse_arguments(PACKAGE "" "" "DEPENDS" ${ARGN})
   file(GLOB sources CONFIGURE_DEPENDS *.cpp)
@@ -25,7 +26,7 @@
   endif()
 endfunction()
 
-# Defines a program from all sources in the current folder.
+# Defines a program from all sources in the current folder; INSTALL installs it.
 function(lycheeseam_program name)
   cmake_parse_arguments(PACKAGE "INSTALL" "" "DEPENDS" ${ARGN})
   file(GLOB sources CONFIGURE_DEPENDS *.cpp)
@@ -38,8 +39,8 @@
   endif()
 endfunction()
 
-# Defines one test program for a library from all Test*.cpp in the current
-# folder; each GoogleTest case is a test of ctest.
+# Defines one test program for a library from all sources in the current folder.
+# Each GoogleTest case becomes a ctest test.
 function(lycheeseam_tests name)
   cmake_parse_arguments(PACKAGE "" "" "DEPENDS" ${ARGN})
   file(GLOB sources CONFIGURE_DEPENDS *.cpp)
--- a/Meta/check-type-names.sh
+++ b/Meta/check-type-names.sh
@@ -1,15 +1,16 @@
 #!/usr/bin/env bash
-# Fails when two headers define types of the same name: the namespace is one,
-# and the linker would take one type's functions for the other's.
+# Fails if two headers define types of the same name. All types share one
+# namespace, and the linker would merge the inline functions of both types.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 
-# A template's specialisations are named by their arguments too.
+# Template specialisations share a name; the pattern skips them, since their
+# arguments follow the name.
 doubled=$(git ls-files 'Libraries/*.h' 'platform/*.h' | grep -v /Generated/ |
   xargs grep -hoE '^(struct|class|enum class) [a-z_]+$' | sort | uniq -d)
 if [ -n "$doubled" ]; then
-  echo "check-type-names: defined in two headers:" >&2
+  echo "check-type-names: types defined in more than one header:" >&2
   echo "$doubled" >&2
   exit 1
 fi
-echo "check-type-names: every type has a name of its own"
+echo "check-type-names: all type names are unique"
--- a/Meta/demo.sh
+++ b/Meta/demo.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Starts a platform, engines, a service and two routers, all stand-ins but the
-# routers, sends a streamed chat, a stock lookup and a booking, and shows what
-# happened. Everything listens on 127.0.0.1 and is stopped at the end.
+# Starts a stand-in platform, stand-in engines, a stand-in service and two real
+# routers; sends a streamed chat, a stock lookup and a booking, and prints the
+# results. Every process listens on 127.0.0.1 and is stopped at the end.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 
@@ -24,7 +24,8 @@
 }
 trap stop_all EXIT
 
-# A port that nobody listens on, other than those given out before.
+# Sets next_port to a port on which no process listens and which has not been
+# used before.
 next_port=${LYCHEESEAM_DEMO_PORT:-18400}
 take_port() {
   next_port=$((next_port + 1))
@@ -33,7 +34,7 @@
   done
 }
 
-# Starts NAME on PORT with a command, and waits until it listens.
+# Starts a command as process NAME and waits until PORT accepts connections.
 start() {
   local name=$1 port=$2
   shift 2
@@ -47,15 +48,15 @@
     fi
     sleep 0.1
   done
-  echo "demo: $name doesn't listen after $try tries; its output:" >&2
+  echo "demo: $name doesn't listen on 127.0.0.1:$port after $try tries; its output:" >&2
   cat "$folder/$name.log" >&2
   exit 1
 }
 
 digest_of() { printf %s "$1" | sha256sum | cut -d' ' -f1; }
 
-# The operators' tables: one pool of engines and one of services, three routes,
-# one workspace and its key.
+# Prints the configuration proposal: one pool of engines and one of services,
+# three routes, one workspace and its key.
 rows() {
   jq -n --arg key "$(digest_of "$caller_key")" \
     --argjson engine1 "$engine1" --argjson engine2 "$engine2" --argjson service "$service" '
@@ -83,7 +84,7 @@
      operators: [{name: "demo", key_digest: $operator}]}' > "$folder/$name.json"
 }
 
-# Sends a request to a router as the demo's caller.
+# Sends a request to a router with the demo caller's key.
 ask() {
   local port=$1 path=$2
   shift 2
@@ -103,7 +104,7 @@
 start engine-2 "$engine2" StandIns/Engine/standin-engine --id=engine-2 --port="$engine2" --tokens_per_second=40
 start ledger-1 "$service" StandIns/Service/standin-service --id=ledger-1 --port="$service"
 
-say "Writing the tables of routes and pools, a workspace and a key, to the platform's log"
+say "Writing routes, pools, a workspace and a key to the platform's configuration log"
 rows | curl --silent --fail --data-binary @- "http://127.0.0.1:$platform/v1/log/records"
 echo
 
@@ -137,14 +138,14 @@
 say "A stock lookup through router-2"
 ask "$callers2" "/stock/sheet-5137" | jq -c '{server, method, target, seen_key: any(.headers[]; .name == "Authorization")}'
 
-say "A booking through router-1, and its repeat through router-2"
+say "A booking through router-1, and the same booking again through router-2"
 for port in "$callers1" "$callers2"; do
   ask "$port" /bookings -H "Idempotency-Key: demo-booking-1" -d '{"id": "demo-booking-1"}' | jq -c '{server, runs, error}'
 done
-echo "the ledger has run it this often:"
+echo "number of times that the ledger ran it:"
 curl --silent "http://127.0.0.1:$service/control/counts" | jq -c .runs
 
 say "A request without a key"
 curl --silent -i "http://127.0.0.1:$callers1/stock" | tr -d '\r' | grep -iE '^HTTP|verdict'
 
-say "Stopping everything that was started: processes ${process_ids[*]}"
+say "Stopping all started processes: ${process_ids[*]}"
--- a/Meta/generate-flatbuffers.sh
+++ b/Meta/generate-flatbuffers.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# Writes Libraries/LibPeer/Generated anew from the schema. The result is
-# committed, so the build needs no generator; --check only compares.
+# Regenerates Libraries/LibPeer/Generated from the schema. The result is
+# committed, so the build needs no generator. With --check, only compares the
+# committed files with newly generated ones, and fails if they differ.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 
--- a/Meta/lint.sh
+++ b/Meta/lint.sh
@@ -1,5 +1,6 @@
 #!/usr/bin/env bash
-# Checks formatting and runs the linter; --fix formats in place.
+# Checks the formatting and runs the linter. --fix formats in place; --since
+# takes only files that differ from revision REV.
 # Usage: Meta/lint.sh [--fix] [--format-only] [--since REV]
 set -euo pipefail
 cd "$(dirname "$0")/.."
@@ -33,7 +34,7 @@
 fi
 [ "$format_only" = no ] || exit 0
 
-# Only sources that the build knows have a compile command to lint with.
+# Lints only sources that have an entry in compile_commands.json.
 sources=()
 for file in "${files[@]}"; do
   case "$file" in
--- a/Meta/lycheeseam.sh
+++ b/Meta/lycheeseam.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# The project's one entry point: demo, test, bench, scenarios, model, lint.
+# Entry point for building, testing and measuring the project.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 
@@ -12,7 +12,7 @@
   demo       install, build, start stand-ins and two routers, send requests, stop
   test       install, build, lint, unit tests, scenarios, model checks
   build      install and build
-  bench      measure; prints tables and writes JSON and plots to Results/
+  bench      run the benchmarks; print tables, write JSON and plots to Results/
   scenarios  run the scripted scenarios
   model      run the model checks
   lint       check formatting and run the linter
--- a/Meta/model.sh
+++ b/Meta/model.sh
@@ -1,12 +1,12 @@
 #!/usr/bin/env bash
-# Runs the model checks of Tests/Models/models.txt, or those named. A row that
-# is expected to fail has a seeded fault, which the checker must find.
+# Runs the model checks listed in Tests/Models/models.txt, or only those named. A
+# row that is expected to fail has a seeded fault, which the checker must find.
 # Usage: Meta/model.sh [NAME...]
 set -euo pipefail
 cd "$(dirname "$0")/.."
 
 models=$PWD/Tests/Models
-# The most that a search may take, in megabytes.
+# Memory limit of a search in MB.
 memory_limit=4000
 scratch=$(mktemp -d)
 trap 'rm -rf "$scratch"' EXIT
@@ -20,7 +20,7 @@
   spin -a "$@" "$models/$file" > spin.log 2>&1 || { cat spin.log; return 1; }
   gcc -w -O2 -DSAFETY -DCOLLAPSE -DMEMLIM=$memory_limit -o pan pan.c
   ./pan "${options[@]}" > pan.log 2>&1 || { tail -5 pan.log; return 1; }
-  # A search that was cut short shows nothing.
+  # A search that was stopped early proves nothing.
   if grep -q 'errors: 0' pan.log && ! grep -q 'Search not completed\|max search depth' pan.log; then
     found=holds
   elif grep -q 'assertion violated' pan.log; then
@@ -37,7 +37,7 @@
 while read -r name file expected end_states flags; do
   case "$name" in '' | '#'*) continue ;; esac
   if [ $# -gt 0 ] && [[ " $* " != *" $name "* ]]; then continue; fi
-  # Flags are words of their own.
+  # Unquoted, so that each flag becomes a separate argument.
   # shellcheck disable=SC2086
   (check "$name" "$file" "$expected" "$end_states" $flags) || failures=$((failures + 1))
 done < "$models/models.txt"
--- a/Meta/run-tests.sh
+++ b/Meta/run-tests.sh
@@ -1,13 +1,13 @@
 #!/usr/bin/env bash
-# Runs every test through ctest. Tests listed in KNOWN-RED.txt run too, on
-# their own, and their results are printed without changing the verdict.
+# Runs all tests with ctest. Tests listed in KNOWN-RED.txt run separately; their
+# results are printed and do not change the exit status.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 
 build_directory=${LYCHEESEAM_BUILD:-Build/Default}
 jobs=${LYCHEESEAM_JOBS:-$(nproc)}
 
-# An entry of KNOWN-RED.txt starts with a line "test: NAME".
+# Each entry of KNOWN-RED.txt starts with a line "test: NAME".
 known_red=
 [ -f KNOWN-RED.txt ] && known_red=$(sed -n "s/^test: *//p" KNOWN-RED.txt | sed 's/[][\.*^$()+?{/|]/\\&/g' | paste -sd "|" -)
 if [ -n "$known_red" ]; then
--- a/Meta/scenarios.sh
+++ b/Meta/scenarios.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Runs the scripted scenarios against real processes.
+# Runs the scripted scenarios, which start real processes.
 # Usage: Meta/scenarios.sh [NAME-PATTERN]
 set -euo pipefail
 cd "$(dirname "$0")/.."
--- a/Meta/setup.sh
+++ b/Meta/setup.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Installs what the build, the tests and the checks need on Debian 12.
-# Does nothing when everything is there already.
+# Installs the Debian 12 packages that the build, the tests and the checks need.
+# Does nothing if all of them are installed.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 
