--- a/Meta/check-type-names.sh
+++ b/Meta/check-type-names.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
 # Fails if two headers define types of the same name. All types share one
-# namespace, and the linker would merge the inline functions of both types.
+# namespace, and the linker would use the functions of one type for the other.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 
--- a/Tests/Models/AtMostOnce.pml
+++ b/Tests/Models/AtMostOnce.pml
@@ -1,13 +1,13 @@
 /*
- * The claim of one idempotency key by two instances.
+ * Two instances claim the same idempotency key.
  *
- * Mirrors Libraries/LibOnce: ClaimFold.cpp (Fold), OnceGate.cpp (the steps of
- * an instance) and ClaimBatcher.cpp (appends that are lost, late or doubled).
+ * Models Libraries/LibOnce: ClaimFold.cpp (Fold), OnceGate.cpp (the steps of
+ * an instance) and ClaimBatcher.cpp (appends that are lost, late or duplicated).
  *
- * Claims are numbered: instance i's are 2i and 2i + 1, the second after it gave
- * up or restarted. The key must run at most once, "not run" must be
- * true, and a claim that was given up must not hold the key once its release
- * has landed.
+ * Instance i makes the claims 2i and 2i + 1, the second one after it released
+ * the first or restarted. The request must run at most once, the answer "not
+ * run" must be true, and a released claim must not hold the key once its
+ * release has landed in the log.
  *
  * Seeded faults: RUN_UNREAD, LATER_WINS, FORGET_RELEASE, DEAD_FREES.
  */
@@ -24,22 +24,22 @@
 #define RELEASE 4
 #define RAN 8
 
-/* Records are kind + claim. */
+/* A record is its kind (CLAIM, RELEASE or RAN) plus the number of its claim. */
 byte log[LENGTH];
 byte tail = 0;
-short flying = 0;            /* a bit for each record on its way */
+short flying = 0;            /* one bit for each record in flight */
 
 byte runs = 0;
 bool ran[CLAIMS];
 bool toldNotRun[CLAIMS];
 
-/* Each instance's fold. */
+/* State of each instance's fold of the log. */
 byte read[2];
 byte holder[2] = NOBODY;
-bool ended[2];               /* the holder has an outcome "ran" */
-byte released[2];            /* a bit for each claim */
+bool ended[2];               /* the holder's request has run */
+byte released[2];            /* one bit for each claim */
 
-/* Each instance's request. */
+/* State of each instance's request. */
 byte claim[2];
 bool claimed[2];
 bool running[2];
@@ -48,7 +48,7 @@
 #define BIT(c) (1 << (c))
 
 inline Send(record) {
-  /* What does not land before the log is full counts as lost. */
+  /* A record that has not landed when the log is full counts as lost. */
   flying = flying | BIT(record)
 }
 
@@ -92,10 +92,10 @@
   :: atomic { read[i] < tail ->
       record = log[read[i]]; read[i]++;
       Fold(i, record); record = 0;
-      /* A claim whose release is folded does not hold the key. */
+      /* A claim whose release has been folded must not hold the key. */
       assert(holder[i] == NOBODY || ended[i] ||
              (released[i] & BIT(holder[i])) == 0) }
-  /* The claim has won: the request is sent. */
+  /* The claim holds the key: the request is sent. */
   :: atomic { claimed[i] && !running[i] &&
 #ifndef RUN_UNREAD
       holder[i] == 2 * i + claim[i] && !ended[i] &&
@@ -108,12 +108,12 @@
       assert(runs <= 1);
       assert(!toldNotRun[2 * i + claim[i]]);
       Send(RAN + 2 * i + claim[i]); claim[i]++ }
-  /* Not sent after all, or given up while waiting. */
+  /* The request is not sent, or is cancelled while it waits for the claim. */
   :: atomic { claimed[i] ->
       toldNotRun[2 * i + claim[i]] = true;
       Send(RELEASE + 2 * i + claim[i]);
       running[i] = false; claimed[i] = false; claim[i]++ }
-  /* A crash; what was sent may still run. */
+  /* The instance crashes; a request that was sent may still run. */
   :: atomic { i == 0 && !restarted[i] && claim[i] < 2 ->
       restarted[i] = true;
       if
@@ -130,14 +130,14 @@
       claimed[i] = false;
       read[i] = 0; holder[i] = NOBODY; ended[i] = false; released[i] = 0 }
 #ifdef DEAD_FREES
-  /* The list says that the holder's instance is gone. */
+  /* Fault: frees the key if the instance list omits the holder's instance. */
   :: atomic { holder[i] != NOBODY && holder[i] / 2 != i && !ended[i] ->
       holder[i] = NOBODY }
 #endif
   od
 }
 
-/* Appends land in any order. */
+/* Appended records land in any order. */
 proctype Log() {
   byte r;
   do
@@ -157,7 +157,7 @@
       :: (flying & BIT(10)) != 0 -> r = 10
       :: (flying & BIT(11)) != 0 -> r = 11
       fi;
-      /* A claim may land twice. */
+      /* A claim may land more than once. */
       if
       :: flying = flying & ~BIT(r)
       :: r < RELEASE
--- a/Tests/Models/TokenEscrow.pml
+++ b/Tests/Models/TokenEscrow.pml
@@ -1,16 +1,17 @@
 /*
- * One home slot of a workspace's budget over a takeover.
+ * One budget slot of a workspace during a takeover by another instance.
  *
- * Mirrors Libraries/LibLimits: SlotAccount.cpp (accrual, loans), LendingQuorum.cpp
- * (hold), SlotRelease.cpp (votes, waiting), OpeningWait.cpp (wait) and
- * SlotFold.cpp (the first claim on a base wins).
+ * Models Libraries/LibLimits: SlotAccount.cpp (accrual, loans), LendingQuorum.cpp
+ * (lending), SlotRelease.cpp (votes, release), OpeningWait.cpp (wait before
+ * lending) and SlotFold.cpp (the first claim on a base wins).
  *
- * Instance A holds the slot, B claims it whenever the late list misleads it, X
- * holds a third slot and borrows. Time passes in ticks; one token accrues a
- * tick. An instance that takes no step while ticks pass is paused. Messages are
- * lost, late or cut by not being chosen.
+ * Instance A holds the slot. B may claim it at any time, since an outdated
+ * instance list can omit A. X holds another slot and borrows from A. Time passes
+ * in ticks; one token accrues per tick. An instance that takes no step while
+ * ticks pass is paused. A message whose step is not chosen is lost, late or cut
+ * off.
  *
- * The reference bucket must never go below zero.
+ * The level of the reference bucket must never go below zero.
  *
  * Seeded faults: NO_OUTSTANDING, NO_WAIT, NO_RELEASE, EARLY_VOTES, BREAK_MENDS,
  * READ_MENDS, LIMIT_FILLS.
@@ -19,9 +20,9 @@
 #ifndef TICKS
 #define TICKS 8
 #endif
-#define LAPSE 2      /* a loan may be spent this long after the ask */
-#define CONFIRM 1    /* mConfirmBound */
-#define SILENCE 3    /* mUnresponsiveAfter, more than CONFIRM and one tick of a word */
+#define LAPSE 2      /* ticks from the request until a loan expires */
+#define CONFIRM 1    /* mConfirmBound, in ticks */
+#define SILENCE 3    /* mUnresponsiveAfter: over CONFIRM plus a tick to answer */
 #define WAIT 4       /* mTakeoverWait: CONFIRM + LAPSE and one tick */
 
 byte now = 0;
@@ -30,17 +31,17 @@
 byte refBurst = 1;
 short refLevel = 1;
 
-/* A: its account and its permission to lend. */
+/* A: its account and the state that lets it lend. */
 bool aUp = true;
 byte aBurst = 1;
 byte aBalance = 1;
 byte aRead = 2;              /* ticks for which the last read allows lending */
-byte aContact = 2;           /* ticks for which the last contact counts */
-bool aChained = true;        /* in contact without a break since a read */
+byte aContact = 2;           /* ticks for which the last contact still counts */
+bool aChained = true;        /* in uninterrupted contact since a read of the log */
 byte aAccruesIn = 0;
-byte aCounted = 0;           /* ticks for which the loan still counts */
+byte aCounted = 0;           /* ticks for which the loan counts as outstanding */
 
-/* The loan on its way to X or held by it. */
+/* State of the loan to X. */
 #define NONE 0
 #define ASKED 1
 #define SENT 2
@@ -48,20 +49,22 @@
 byte loan = NONE;
 byte askAge = 0;
 
-/* The log: whose claim stands. 0 is A's first life, 1 is B, 2 is A restarted. */
+/* The log: the slot's holder. 0 is A's first incarnation, 1 is B, 2 is A after
+   a restart. */
 byte holder = 0;
 bool bInFlight = false;
 bool aInFlight = false;
 bool limitRaised = false;
 
-/* What the log showed to each. */
+/* What each instance has read from the log. */
 bool aReadsB = false;        /* A has folded B's claim */
 bool bReadsB = false;        /* B has read its own claim */
-bool aReadsA = false;        /* the restarted A has read its claim */
+bool aReadsA = false;        /* the restarted A has read its own claim */
 bool aReadsLimit = false;
 bool aRestarted = false;
 
-/* Since when A was unheard; X's vote, asked by B. */
+/* Ticks since B and X last received a message from A; X's vote, which B
+   requests. */
 byte bUnheard = 0;
 byte xUnheard = 0;
 bool xVoted = false;
@@ -71,7 +74,7 @@
 byte bWait = 0;
 byte bBalance = 0;
 
-/* As far as A knows. */
+/* A holds the slot as far as it knows. */
 #define A_HOLDS (aUp && (!aRestarted || aReadsA) && !aReadsB)
 #define MAY_LEND (aRead > 0 || (aChained && aContact > 0))
 #define COUNTED (aCounted > 0)
@@ -99,7 +102,7 @@
   :: refLevel < refBurst -> refLevel++
   :: else
   fi;
-  /* Accrual leaves room for the loans that still count. */
+  /* Outstanding loans take up capacity of the bucket. */
   if
   :: A_HOLDS && aAccruesIn == 0 && aBalance + COUNTED < aBurst -> aBalance++
   :: aAccruesIn > 0 -> aAccruesIn--
@@ -118,7 +121,7 @@
   xVoted = false
 }
 
-/* A is heard and hears that it was. */
+/* A peer receives A's message, and A receives the confirmation. */
 inline Contact(unheard) {
   unheard = 0;
   if
@@ -129,7 +132,7 @@
   aChained = true;
 #endif
 #ifdef READ_MENDS
-  /* Contact that begins after the read is taken for unbroken. */
+  /* Fault: contact that begins after the read counts as uninterrupted. */
   if
   :: aRead > 0 -> aChained = true
   :: else
@@ -164,7 +167,7 @@
   do
   :: now < TICKS -> atomic { Tick() }
 
-  /* X borrows from A, through messages that may be lost. */
+  /* X borrows from A; the messages may be lost. */
   :: atomic { loan == NONE && aCounted == 0 -> Ask() }
   :: atomic { loan == ASKED && A_HOLDS && MAY_LEND && aBalance > 0 -> Lend() }
   :: atomic { loan == SENT -> loan = HELD }
@@ -172,17 +175,18 @@
   :: atomic { loan == HELD -> Spend(); loan = NONE; askAge = 0;
       if :: true -> aCounted = 0 :: true fi }
 
-  /* B spends what its slot accrued. */
+  /* B spends the tokens that its slot has accrued. */
   :: atomic { bBalance > 0 -> bBalance--; Spend() }
 
-  /* Signs of life and words; B's word counts while it has folded no more. */
+  /* Heartbeats and quorum answers; B's answer counts only while B has not folded
+     a claim that A has yet to fold. */
   :: atomic { aUp && (xUnheard > 0 || aContact < CONFIRM + 1) -> Contact(xUnheard) }
   :: atomic { aUp && (bUnheard > 0 || aContact < CONFIRM + 1) &&
       (!bReadsB || aReadsB) -> Contact(bUnheard) }
-  /* X starts anew and has to listen again. */
+  /* X restarts, and its observation of A starts from zero. */
   :: atomic { xUnheard > 0 -> xUnheard = 0 }
 
-  /* The log: B's claim may land long after it was sent. */
+  /* The log: B's claim may land long after B sent it. */
   :: atomic { holder == 0 && !bInFlight && !bReadsB -> bInFlight = true }
   :: atomic { bInFlight -> bInFlight = false;
       if :: holder == 0 -> holder = 1 :: else fi }
@@ -208,11 +212,12 @@
       :: else
       fi }
 
-  /* X's vote, and the release by silence or by A's own word. */
+  /* X votes; the slot is released because A is unresponsive or because A itself
+     has folded B's claim. */
   :: atomic { xUnheard == SILENCE && !xVoted -> xVoted = true }
 #ifndef NO_RELEASE
 #ifdef EARLY_VOTES
-  /* What was known when the claim was sent is taken for true when it lands. */
+  /* Fault: what held when the claim was sent is assumed to hold when it lands. */
   :: atomic { bReadsB && !bOpen -> OpenB() }
 #else
   :: atomic { bReadsB && !bOpen && xVoted && bUnheard == SILENCE -> OpenB() }
@@ -220,7 +225,7 @@
   :: atomic { bReadsB && !bOpen && aReadsB -> OpenB() }
 #endif
 
-  /* A crashes, starts anew in place and claims its slot again. */
+  /* A crashes, restarts under the same id and claims its slot again. */
   :: atomic { aUp && !aRestarted -> aUp = false; aBalance = 0; aRead = 0;
       aContact = 0; aChained = false;
       aCounted = 0 }
--- a/Tests/Models/config_log.pml
+++ b/Tests/Models/config_log.pml
@@ -1,23 +1,24 @@
 /*
- * The configuration log: racing proposals, lost answers, late and doubled
- * landings, forgotten outcomes, checkpoints, retention and a restart.
+ * The configuration log: concurrent proposals, lost answers, records that land
+ * late or twice, discarded outcomes, checkpoints, retention and a restart.
  *
- * Mirrors Libraries/LibConfigLog/ConfigFold.cpp (Apply),
- * Libraries/LibPlatform/LogAppender.h (Settle), LogFollower.h and
- * CheckpointSearch.cpp (Read, Jump), CheckpointWriter.h (WriteCheckpoint).
+ * Models Libraries/LibConfigLog/ConfigFold.cpp (Apply),
+ * Libraries/LibPlatform/LogAppender.h (FinishDecided), LogFollower.h (ApplyNext,
+ * LoadBest), CheckpointSearch.cpp and CheckpointWriter.h (Advance).
  *
- * One row stands for all: its version is the offset that wrote it, 0 for no
- * row. Author 0 creates the row, author 1 deletes it, author 2 writes it. Only
- * author 0 sends twice and moves an idle log on, to keep the states few.
+ * The model has a single row, whose version is the offset of its last write, or
+ * 0 if there is no row. Author 0 creates the row, author 1 deletes it, author 2
+ * writes it. Only author 0 sends twice and appends to an idle log, which keeps
+ * the number of states small.
  *
  * Checked by assertions:
- *  - a reader holds at each offset what the fold over the whole log gives;
- *  - no proposal takes force twice, nor on another version than its base, nor
- *    when its author was told that it has not landed;
- *  - what an author is told is what the whole log says;
- *  - no reader is cut off while a checkpoint stands in the log.
+ *  - at each offset, a reader's state equals the fold of the complete log;
+ *  - no proposal is applied twice, or to a version other than its base, or after
+ *    its author was told that it has not landed;
+ *  - the outcome reported to an author agrees with the complete log;
+ *  - every reader that retention has overtaken finds a checkpoint to restore.
  *
- * Faults: FAULT_NO_MEMORY, FAULT_NO_LAST_OFFSET, FAULT_TOLD_EARLY,
+ * Seeded faults: FAULT_NO_MEMORY, FAULT_NO_LAST_OFFSET, FAULT_TOLD_EARLY,
  * FAULT_NO_VERSION.
  */
 
@@ -25,9 +26,9 @@
 #define READERS 2
 #define HOST 0        /* the reader whose instance the authors use */
 #define LENGTH 4      /* offsets 1 to LENGTH */
-#define WINDOW 2      /* a proposal's last offset, beyond the author's tail */
-#define MEMORY 1      /* an outcome is remembered so far beyond its last offset */
-#define COPIES 2      /* how often an author sends */
+#define WINDOW 2      /* from the author's tail to its last offset */
+#define MEMORY 1      /* offsets after the last for which an outcome is kept */
+#define COPIES 2      /* how many times author 0 sends */
 
 #define NO_OPERATION 10
 #define CHECKPOINT 11
@@ -35,7 +36,7 @@
 typedef fold {
   byte offset;
   byte version;
-  byte landed[AUTHORS];  /* remembered outcomes: where each landed, 0: none */
+  byte landed[AUTHORS];  /* offsets of the kept outcomes, 0 for none */
   bit accepted[AUTHORS]
 }
 
@@ -54,13 +55,13 @@
 
 byte base[AUTHORS];
 byte last[AUTHORS];
-byte copies[AUTHORS];     /* sent, neither landed nor dropped */
+byte copies[AUTHORS];     /* copies sent that have not landed */
 bit in_force[AUTHORS];
 bit told_not_landed[AUTHORS];
-bit seen[AUTHORS];  /* the appender saw the proposal's entry */
-bit skipped;        /* the host's state jumped, or it restarted */
+bit seen[AUTHORS];  /* the appender has read the proposal's entry */
+bit skipped;        /* the host restored a checkpoint or restarted */
 bool restarted = false;
-bool has_checkpoint = false; /* one is enough to start from */
+bool has_checkpoint = false; /* the model writes one checkpoint only */
 
 #ifdef FAULT_NO_MEMORY
 #define IS_DOUBLE(f, id) false
@@ -91,7 +92,7 @@
   to.accepted[2] = from.accepted[2]
 }
 
-/* config_fold::ForgetOldOutcomes. */
+/* config_fold::DiscardOldOutcomes. */
 inline forget(f, id, now) {
   if
   :: f.landed[id] > 0 && last[id] + MEMORY < now ->
@@ -101,7 +102,7 @@
   fi
 }
 
-/* config_fold::Apply: what an entry that is no proposal does to a fold. */
+/* config_fold::Apply for an entry that is not a proposal. */
 inline apply_other(f, at) {
   forget(f, 0, at);
   forget(f, 1, at);
@@ -109,7 +110,7 @@
   f.offset = at
 }
 
-/* config_fold::Apply: what a proposal does to a fold. */
+/* config_fold::Apply for a proposal. */
 inline apply_proposal(f, at, id) {
   apply_other(f, at);
   if
@@ -125,7 +126,8 @@
   fi
 }
 
-/* Adds a record that is no proposal, and folds it into the truth. */
+/* Appends a record that is not a proposal, and folds it into the reference
+   state truth. */
 inline land_other(what) {
   tail++;
   record[tail].kind = what;
@@ -133,7 +135,7 @@
   apply_other(truth[tail], tail)
 }
 
-/* Adds a proposal, and folds it into the truth. */
+/* Appends a proposal, and folds it into the reference state truth. */
 inline land_proposal(id) {
   tail++;
   record[tail].kind = id;
@@ -156,8 +158,8 @@
   assert(reader[who].accepted[2] == truth[reader[who].offset].accepted[2])
 }
 
-/* Copies on their way land in any order, at any time, or never: all may stop
-   at any point, so one that is dropped is one that waits for ever. */
+/* Copies in flight land in any order, at any time, or never. Every process may
+   stop at any point, so a dropped copy is one that never lands. */
 active proctype Network() {
 end:
   do
@@ -165,7 +167,7 @@
   :: atomic { tail < LENGTH && copies[1] > 0 -> copies[1]--; land_proposal(1) }
   :: atomic { tail < LENGTH && copies[2] > 0 -> copies[2]--; land_proposal(2) }
   :: atomic {
-       /* Retention passes, but not what the newest checkpoint needs. */
+       /* Retention drops the offsets that the newest checkpoint covers. */
        earliest < tail ->
        if
        :: record[tail].kind == CHECKPOINT &&
@@ -179,11 +181,12 @@
   od
 }
 
-/* log_appender: sends under one id, and reads back until it is definite. */
+/* log_appender: sends under one proposal id, and reads the log until the outcome
+   is definite. */
 proctype Author(byte who) {
   byte sent = 0;
   atomic {
-    reader[HOST].offset > 0 || who != 1 -> /* the deleter has seen something */
+    reader[HOST].offset > 0 || who != 1 -> /* author 1 waits for an entry */
     base[who] = reader[HOST].version;
     last[who] = reader[HOST].offset + WINDOW;
     sent = 1;
@@ -197,7 +200,7 @@
        copies[who]++
      }
   :: atomic {
-       /* Told by the appender, or by the fold after a jump. */
+       /* Reported by the appender, or by the fold after a checkpoint. */
        reader[HOST].landed[who] > 0 ->
        assert(reader[HOST].accepted[who] == in_force[who]);
        break
@@ -214,10 +217,10 @@
        break
      }
   :: atomic {
-       /* Moves an idle log on to the last offset. */
+       /* Appends no-operations to an idle log up to the last offset. */
        who == 0 && tail < last[who] && tail < LENGTH -> land_other(NO_OPERATION)
      }
-  /* Nothing is told for certain once the fold has forgotten. */
+  /* The outcome may be unknown once the fold has discarded it. */
   :: atomic { skipped || seen[who] -> break }
   :: atomic { tail == LENGTH && reader[HOST].offset == tail -> break }
   od
@@ -245,7 +248,7 @@
        place = 0
      }
   :: atomic {
-       /* Behind retention: goes on from a checkpoint, newest first. */
+       /* Before the retained range: restores a checkpoint, newest first. */
        reader[who].offset + 1 < earliest ->
        place = tail;
        do
