--- a/Tests/Scenarios/ChildProcess.cpp
+++ b/Tests/Scenarios/ChildProcess.cpp
@@ -18,7 +18,7 @@
 
 namespace {
 
-/// The shell's exit code for a program that can't be run.
+/// The exit code that shells use for a program that can't be executed.
 constexpr int kNotRunExitCode = 127;
 constexpr mode_t kOutputMode = 0644;
 
@@ -36,7 +36,8 @@
 [[noreturn]] void
 BecomeProgram(int aOutput, std::span<char* const> aArguments)
 {
-  // Only system calls here: other threads' locks were copied as they were.
+  // Only system calls here: a lock that another thread held at the fork stays
+  // locked in the child.
   prctl(PR_SET_PDEATHSIG, SIGKILL);
   dup2(aOutput, STDOUT_FILENO);
   dup2(aOutput, STDERR_FILENO);
@@ -69,7 +70,7 @@
     BecomeProgram(output, pointers);
   close(output);
   if (mPid < 0)
-    throw scenario_failure("can't start " + aProgram.string());
+    throw scenario_failure("can't start the program " + aProgram.string());
   mPidDescriptor = static_cast<int>(syscall(SYS_pidfd_open, mPid, 0));
 }
 
@@ -86,7 +87,7 @@
 void
 child_process::Signal(int aSignal) const
 {
-  // Once waited for, the number may name another process.
+  // After the wait, the process id may belong to another process.
   if (!mExit)
     kill(mPid, aSignal);
 }
--- a/Tests/Scenarios/ChildProcess.h
+++ b/Tests/Scenarios/ChildProcess.h
@@ -12,12 +12,12 @@
 
 namespace lycheeseam {
 
-/// One process under test. It is killed when this goes out of scope, and by
-/// the kernel if the runner dies first.
+/// One process under test. The destructor kills it; if the runner ends first,
+/// the kernel does.
 class child_process
 {
 public:
-  /// Starts a program; its output goes to a file.
+  /// Starts a program and redirects its output to a file.
   child_process(std::filesystem::path const& aProgram,
                 std::span<std::string const> aArguments,
                 std::filesystem::path aOutput);
@@ -28,10 +28,11 @@
   /// Sends a signal to this process alone.
   void Signal(int aSignal) const;
 
-  /// Waits for the end; nothing if it hasn't come within the bound.
+  /// Waits until the process ends; returns nothing if it runs longer than the
+  /// bound.
   std::optional<exit_report> Wait(std::chrono::milliseconds aBound);
 
-  /// Where its output goes.
+  /// The file that receives the output.
   [[nodiscard]] std::filesystem::path const& Output() const { return mOutput; }
 
 private:
--- a/Tests/Scenarios/HttpCall.cpp
+++ b/Tests/Scenarios/HttpCall.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// The longest sleep between two looks at a transfer; wake-ups end it early.
+/// The longest wait between two checks of a transfer; a wake-up ends it early.
 constexpr int kPollMilliseconds = 1000;
 
 struct list_cleanup
@@ -19,7 +19,8 @@
 header_list
 HeaderList(http_call_options const& aOptions)
 {
-  // No "Expect: 100-continue": a server that doesn't answer it costs a second.
+  // No "Expect: 100-continue": libcurl waits 1 s for a server that doesn't
+  // answer it.
   header_list list{ curl_slist_append(nullptr, "Expect:") };
   for (std::string const& header : aOptions.mHeaders)
     list.reset(curl_slist_append(list.release(), header.c_str()));
--- a/Tests/Scenarios/HttpCall.h
+++ b/Tests/Scenarios/HttpCall.h
@@ -12,26 +12,26 @@
 
 namespace lycheeseam {
 
-/// One request on its way, on a thread of its own, so that a scenario can act
-/// between its first byte and its last.
+/// One HTTP request, transferred on its own thread, so that a scenario can act
+/// before the answer is complete.
 class http_call
 {
 public:
-  /// Sends; a session that several calls share carries them one by one.
+  /// Sends the request. Calls that share a session run one after the other.
   http_call(http_call_options aOptions, std::shared_ptr<curl_session> aSession);
 
-  /// Drops the call if it is still on its way.
+  /// Drops the call if it hasn't ended.
   ~http_call();
   http_call(http_call const&) = delete;
   http_call& operator=(http_call const&) = delete;
 
-  /// The answer's bytes so far.
+  /// The bytes of the answer's body received so far.
   [[nodiscard]] std::string BodySoFar() const;
 
-  /// Closes the connection in the midst of the answer.
+  /// Closes the connection before the answer is complete.
   void Drop();
 
-  /// Waits for the end.
+  /// Waits until the call has ended and returns its result.
   http_result Wait();
 
 private:
--- a/Tests/Scenarios/HttpCallOptions.h
+++ b/Tests/Scenarios/HttpCallOptions.h
@@ -12,7 +12,7 @@
   std::string mUrl;
   std::string mMethod = "GET";
   std::string mBody;
-  /// Each "Name: value".
+  /// Header lines of the form "Name: value".
   std::vector<std::string> mHeaders;
   std::chrono::milliseconds mTimeout{ 10000 };
 };
--- a/Tests/Scenarios/HttpResult.h
+++ b/Tests/Scenarios/HttpResult.h
@@ -5,17 +5,17 @@
 
 namespace lycheeseam {
 
-/// What came of a scenario's request.
+/// The result of a scenario's request.
 struct http_result
 {
-  /// The answer's status, or 0 if none came.
+  /// The HTTP status of the answer, or 0 if there was no answer.
   long mStatus = 0;
-  /// Header lines as they came.
+  /// Header lines as received.
   std::string mHeaders;
   std::string mBody;
-  /// libcurl's words for what went wrong; empty for a whole answer.
+  /// libcurl's error message; empty if the answer is complete.
   std::string mError;
-  /// New connections that the request took; 0 if it reused one.
+  /// New connections that the request opened; 0 if it reused one.
   long mNewConnections = 0;
   std::chrono::milliseconds mDuration{ 0 };
 };
--- a/Tests/Scenarios/HttpVerbs.cpp
+++ b/Tests/Scenarios/HttpVerbs.cpp
@@ -31,7 +31,7 @@
 }
 
 /// begin{url, method, headers, body, timeout_ms, connection}: sends a request
-/// and goes on; gives the call's number.
+/// without waiting for the answer; returns the call's number.
 json
 Begin(scenario& aScenario, json const& aArguments)
 {
@@ -39,14 +39,14 @@
   return aScenario.Begin(Options(request), request.value("connection", ""));
 }
 
-/// body_so_far(call): the bytes of the answer that have come.
+/// body_so_far(call): the bytes of the answer's body received so far.
 json
 BodySoFar(scenario& aScenario, json const& aArguments)
 {
   return aScenario.Call(aArguments.at(0).get<std::uint64_t>()).BodySoFar();
 }
 
-/// drop(call): the caller hangs up.
+/// drop(call): closes the caller's connection.
 json
 Drop(scenario& aScenario, json const& aArguments)
 {
@@ -54,7 +54,8 @@
   return nullptr;
 }
 
-/// finish(call): waits for the end; gives status, headers, body and more.
+/// finish(call): waits until the call has ended; returns the fields of
+/// http_result.
 json
 Finish(scenario& aScenario, json const& aArguments)
 {
@@ -84,7 +85,8 @@
   return aArguments.at(0).dump();
 }
 
-/// sha256(text): a text's digest in hexadecimal, as keys are stored.
+/// sha256(text): the SHA-256 digest in hexadecimal; keys are stored in this
+/// form.
 json
 Sha256(scenario&, json const& aArguments)
 {
--- a/Tests/Scenarios/LuaJson.cpp
+++ b/Tests/Scenarios/LuaJson.cpp
@@ -49,10 +49,11 @@
   json object = json::object();
   lua_pushnil(aLua);
   while (lua_next(aLua, aIndex) != 0) {
-    // A number as key must not be turned into text in place: lua_next would
-    // lose its way.
+    // lua_tolstring on a number key would convert it in place, and lua_next
+    // would no longer find the key.
     if (lua_type(aLua, -2) != LUA_TSTRING)
-      throw scenario_failure("a table's keys are either 1 to n or texts");
+      throw scenario_failure(
+        "a table has a key that is neither a string nor part of a list 1 to n");
     object[TextAt(aLua, -2)] = LuaToJson(aLua, -1);
     lua_pop(aLua, 1);
   }
@@ -102,14 +103,15 @@
       return IsArray(aLua, index) ? ArrayAt(aLua, index)
                                   : ObjectAt(aLua, index);
     default:
-      throw scenario_failure("a value is neither text, number nor table");
+      throw scenario_failure(
+        "a value is not a string, number, boolean, nil or table");
   }
 }
 
 void
 PushJson(lua_State* aLua, json const& aValue)
 {
-  luaL_checkstack(aLua, 4, "a value is nested too deep");
+  luaL_checkstack(aLua, 4, "a value is nested too deeply");
   if (aValue.is_object())
     PushObject(aLua, aValue);
   else if (aValue.is_array())
--- a/Tests/Scenarios/LuaJson.h
+++ b/Tests/Scenarios/LuaJson.h
@@ -6,12 +6,13 @@
 
 namespace lycheeseam {
 
-/// Reads the Lua value at an index. A table with a first element, or one that
-/// was marked by array(), becomes an array; any other table an object.
+/// Converts the Lua value at an index to JSON. A table with a first element, or
+/// one marked by array(), becomes an array; any other table an object. Throws
+/// scenario_failure for a value that JSON can't represent.
 nlohmann::json
 LuaToJson(lua_State* aLua, int aIndex);
 
-/// Pushes a value; null becomes nil.
+/// Pushes a JSON value onto the Lua stack; null becomes nil.
 void
 PushJson(lua_State* aLua, nlohmann::json const& aValue);
 
--- a/Tests/Scenarios/LuaRunner.cpp
+++ b/Tests/Scenarios/LuaRunner.cpp
@@ -13,7 +13,7 @@
 
 using nlohmann::json;
 
-/// Runs a verb; pushes its result, or its error's text.
+/// Runs a verb and pushes its result, or the message of its error.
 bool
 RunVerb(lua_State* aLua)
 {
@@ -36,7 +36,7 @@
 int
 CallVerb(lua_State* aLua)
 {
-  // lua_error jumps; it is called where no object waits for its destructor.
+  // lua_error uses longjmp; no object with a destructor may be alive here.
   if (RunVerb(aLua))
     return 1;
   luaL_where(aLua, 1);
--- a/Tests/Scenarios/LuaRunner.h
+++ b/Tests/Scenarios/LuaRunner.h
@@ -9,13 +9,13 @@
 
 namespace lycheeseam {
 
-/// Runs a scenario's Lua text with the verbs defined.
+/// Runs Lua files with the verbs of the scenario language defined.
 class lua_runner
 {
 public:
   explicit lua_runner(scenario& aScenario);
 
-  /// Runs a file; throws scenario_failure with Lua's message and trace.
+  /// Runs a file; throws scenario_failure with Lua's message and stack trace.
   void Run(std::filesystem::path const& aFile);
 
 private:
--- a/Tests/Scenarios/Main.cpp
+++ b/Tests/Scenarios/Main.cpp
@@ -7,13 +7,17 @@
 #include <cstdlib>
 #include <iostream>
 
-DEFINE_string(build_directory, "Build/Default", "where the programs are");
-DEFINE_string(support, "Tests/Scenarios/Support", "folder of Prelude.lua");
+DEFINE_string(build_directory,
+              "Build/Default",
+              "build directory that contains the programs to test");
+DEFINE_string(support,
+              "Tests/Scenarios/Support",
+              "folder of the Lua files that run before each scenario");
 
 namespace lycheeseam {
 namespace {
 
-/// Runs the support files, then one scenario; returns whether it passed.
+/// Runs the support files and then one scenario; returns whether it passed.
 bool
 RunScenario(std::filesystem::path const& aFile)
 {
--- a/Tests/Scenarios/NetworkVerbs.cpp
+++ b/Tests/Scenarios/NetworkVerbs.cpp
@@ -13,7 +13,7 @@
 using boost::asio::ip::tcp;
 using nlohmann::json;
 
-/// free_port(): a port that nobody listens on.
+/// free_port(): a loopback port on which no process listens.
 json
 FreePort(scenario&, json const&)
 {
@@ -24,7 +24,7 @@
   return acceptor.local_endpoint().port();
 }
 
-/// is_listening(port): whether a connection is accepted.
+/// is_listening(port): whether the port accepts a connection.
 json
 IsListening(scenario&, json const& aArguments)
 {
@@ -37,7 +37,8 @@
   return !error;
 }
 
-/// relay(name, port): a way to a port that can be cut; gives its own port.
+/// relay(name, port): starts a relay to a port, which can be cut; returns the
+/// relay's own port.
 json
 Relay(scenario& aScenario, json const& aArguments)
 {
--- a/Tests/Scenarios/ProcessVerbs.cpp
+++ b/Tests/Scenarios/ProcessVerbs.cpp
@@ -37,12 +37,13 @@
   std::optional<exit_report> const report =
     aScenario.Process(aName).Wait(bound);
   if (!report)
-    throw scenario_failure(std::string{ aName } + " didn't end in time");
-  aScenario.Forget(aName);
+    throw scenario_failure(std::string{ aName } +
+                           " didn't end within its bound");
+  aScenario.Discard(aName);
   return { { "code", report->mCode }, { "signal", report->mSignal } };
 }
 
-/// stop(name, bound_ms): asks for an orderly end; gives code and signal.
+/// stop(name, bound_ms): sends SIGTERM and waits; returns exit code and signal.
 json
 Stop(scenario& aScenario, json const& aArguments)
 {
@@ -50,7 +51,7 @@
   return WaitForEnd(aScenario, Name(aArguments), aArguments.at(1));
 }
 
-/// ask_to_stop(name), freeze(name), thaw(name): sends a signal, doesn't wait.
+/// ask_to_stop(name), freeze(name), thaw(name): send a signal without waiting.
 template<int Signal>
 json
 SendSignal(scenario& aScenario, json const& aArguments)
@@ -59,14 +60,15 @@
   return nullptr;
 }
 
-/// wait_for_end(name, bound_ms): waits for an end by itself.
+/// wait_for_end(name, bound_ms): waits without sending a signal; returns exit
+/// code and signal.
 json
 AwaitEnd(scenario& aScenario, json const& aArguments)
 {
   return WaitForEnd(aScenario, Name(aArguments), aArguments.at(1));
 }
 
-/// kill(name): ends it at once.
+/// kill(name): sends SIGKILL and waits.
 json
 Kill(scenario& aScenario, json const& aArguments)
 {
@@ -75,7 +77,7 @@
   return WaitForEnd(aScenario, Name(aArguments), kBoundMilliseconds);
 }
 
-/// settings(name, table): writes a settings file; gives its path.
+/// settings(name, table): writes a settings file; returns its path.
 json
 Settings(scenario& aScenario, json const& aArguments)
 {
@@ -85,7 +87,7 @@
     .string();
 }
 
-/// rest(ms): lets time pass between two looks at a condition.
+/// rest(ms): sleeps, such as between two checks of a condition.
 json
 Rest(scenario&, json const& aArguments)
 {
@@ -94,7 +96,7 @@
   return nullptr;
 }
 
-/// now_ms(): a clock that only goes forward.
+/// now_ms(): the time of a monotonic clock in ms.
 json
 NowMilliseconds(scenario&, json const&)
 {
--- a/Tests/Scenarios/Relay.cpp
+++ b/Tests/Scenarios/Relay.cpp
@@ -22,15 +22,15 @@
 
 }
 
-/// The two sockets of one relayed connection.
+/// The two sockets of a relayed connection.
 struct relay::link
 {
   tcp::socket mCaller;
   tcp::socket mTarget;
-  /// Whether the next byte of an answer ends the connection.
+  /// Whether the next byte of an answer resets the connection.
   bool mLosesAnswer = false;
 
-  /// Ends both sides with a reset.
+  /// Resets both connections.
   void Abort()
   {
     boost::system::error_code ignored;
@@ -135,8 +135,8 @@
   while (!error) {
     std::size_t const size = co_await from.async_read_some(
       boost::asio::buffer(buffer), redirect_error(use_awaitable, error));
-    // Bound to the first request read from now on: the answer to an earlier
-    // one, whose caller may have gone, must not take its place.
+    // The loss applies to the first request read from now on, not to the answer
+    // to an earlier request, whose caller may have disconnected.
     if (!isAnswer && size > 0 && std::exchange(mLosesNextAnswer, false))
       aLink->mLosesAnswer = true;
     co_await UntilHealed();
@@ -150,7 +150,7 @@
                                       boost::asio::buffer(buffer.data(), size),
                                       redirect_error(use_awaitable, error));
   }
-  // A reset on one side is passed on as one; an orderly end as an end.
+  // Passes a reset on as a reset and an orderly end as an orderly end.
   if (error != boost::asio::error::eof)
     aLink->Abort();
   else
--- a/Tests/Scenarios/Relay.h
+++ b/Tests/Scenarios/Relay.h
@@ -11,31 +11,31 @@
 
 namespace lycheeseam {
 
-/// A TCP relay between two processes, which can be cut and healed. All of it
-/// runs on the relay thread; other threads post to it.
+/// A TCP relay between two processes that a scenario can cut and heal. It runs
+/// on the relay thread only; other threads post to it.
 class relay : public std::enable_shared_from_this<relay>
 {
 public:
-  /// Listens on a port of its own and relays to a port, both on loopback.
+  /// Listens on a free port and relays to the target port, both on loopback.
   relay(boost::asio::io_context& aContext, std::uint16_t aTargetPort);
 
-  /// Accepts from now on.
+  /// Starts to accept connections.
   void Start();
 
-  /// The port to connect to.
+  /// The port on which the relay listens.
   [[nodiscard]] std::uint16_t Port() const { return mPort; }
 
-  /// Holds all bytes back, as a network that loses every packet.
+  /// Holds back all bytes, like a network that loses every packet.
   void Cut();
 
-  /// Lets held bytes and new ones through again.
+  /// Forwards the held bytes and all later ones.
   void Heal();
 
   /// Resets all connections.
   void Reset();
 
-  /// Lets the next request that comes in through, and resets its connection at
-  /// the first byte of the answer.
+  /// Forwards the next request, and resets its connection at the first byte of
+  /// the answer.
   void LoseNextAnswer() { mLosesNextAnswer = true; }
 
 private:
--- a/Tests/Scenarios/RelayAction.h
+++ b/Tests/Scenarios/RelayAction.h
@@ -2,7 +2,7 @@
 
 namespace lycheeseam {
 
-/// What a scenario does to a relay.
+/// An action of a scenario on a relay.
 enum class relay_action
 {
   Cut,
--- a/Tests/Scenarios/RelayThread.cpp
+++ b/Tests/Scenarios/RelayThread.cpp
@@ -53,7 +53,7 @@
 {
   auto const found = mRelays.find(aName);
   if (found == mRelays.end())
-    throw scenario_failure("no relay is called " + std::string{ aName });
+    throw scenario_failure("there is no relay named " + std::string{ aName });
   auto const act = [target = found->second, aAction]() {
     ActOn(*target, aAction);
   };
--- a/Tests/Scenarios/RelayThread.h
+++ b/Tests/Scenarios/RelayThread.h
@@ -15,7 +15,7 @@
 
 namespace lycheeseam {
 
-/// The one thread on which a scenario's relays run.
+/// The thread on which all relays of a scenario run.
 class relay_thread
 {
 public:
@@ -24,11 +24,11 @@
   relay_thread(relay_thread const&) = delete;
   relay_thread& operator=(relay_thread const&) = delete;
 
-  /// Adds a relay to a port; returns the relay's own port.
+  /// Adds a relay to a target port; returns the relay's own port.
   std::uint16_t Add(std::string_view aName, std::uint16_t aTargetPort);
 
-  /// Acts on a relay; done when this returns. Throws scenario_failure if
-  /// there is none of this name.
+  /// Applies an action to a relay before it returns. Throws scenario_failure if
+  /// there is no relay of this name.
   void Act(std::string_view aName, relay_action aAction);
 
 private:
--- a/Tests/Scenarios/Scenario.cpp
+++ b/Tests/Scenarios/Scenario.cpp
@@ -12,10 +12,10 @@
 
 namespace {
 
-/// The end of a process's output that a failure's report shows, in bytes.
+/// How many bytes from the end of each process's output a failure report shows.
 constexpr std::size_t kTailBytes = 2000;
 
-/// The folders of the build that hold programs, one folder a program.
+/// Folders of the build directory that contain one folder per program.
 constexpr std::array<std::string_view, 3> kProgramFolders{ "Services",
                                                            "Utilities",
                                                            "StandIns" };
@@ -26,7 +26,7 @@
   std::string name =
     (std::filesystem::temp_directory_path() / "scenario-XXXXXX").string();
   if (mkdtemp(name.data()) == nullptr)
-    throw scenario_failure("can't make a temporary folder");
+    throw scenario_failure("can't create a temporary folder for the scenario");
   return name;
 }
 
@@ -62,7 +62,7 @@
 {
   std::string const name{ aName };
   if (mProcesses.contains(name))
-    throw scenario_failure(name + " has been started already");
+    throw scenario_failure(name + " has already been started");
   mProcesses[name] = std::make_unique<child_process>(
     FindProgram(aProgram), aArguments, mFolder / (name + ".log"));
 }
@@ -72,12 +72,12 @@
 {
   auto const found = mProcesses.find(aName);
   if (found == mProcesses.end())
-    throw scenario_failure("no process is called " + std::string{ aName });
+    throw scenario_failure("there is no process named " + std::string{ aName });
   return *found->second;
 }
 
 void
-scenario::Forget(std::string_view aName)
+scenario::Discard(std::string_view aName)
 {
   mProcesses.erase(mProcesses.find(aName));
 }
@@ -110,7 +110,8 @@
 {
   auto const found = mCalls.find(aNumber);
   if (found == mCalls.end())
-    throw scenario_failure("no such call, or it has been finished");
+    throw scenario_failure(
+      "there is no call of this number, or finish() has been called on it");
   return *found->second;
 }
 
@@ -148,7 +149,8 @@
         return program;
     }
   }
-  throw scenario_failure("the build has no program " + std::string{ aProgram });
+  throw scenario_failure("the build directory has no program " +
+                         std::string{ aProgram });
 }
 
 }
--- a/Tests/Scenarios/Scenario.h
+++ b/Tests/Scenarios/Scenario.h
@@ -13,8 +13,8 @@
 
 namespace lycheeseam {
 
-/// What a running scenario owns: a temporary folder, processes, relays and
-/// calls. All of it ends with this.
+/// The resources of a running scenario: a temporary folder, processes, relays
+/// and calls. The destructor releases all of them.
 class scenario
 {
 public:
@@ -23,34 +23,35 @@
   scenario(scenario const&) = delete;
   scenario& operator=(scenario const&) = delete;
 
-  /// Starts a program of the build under a name that is free.
+  /// Starts a program of the build; throws scenario_failure if a process of
+  /// this name is running.
   void Start(std::string_view aName,
              std::string_view aProgram,
              std::span<std::string const> aArguments);
 
-  /// The process of a name; throws scenario_failure.
+  /// The process of this name; throws scenario_failure if there is none.
   child_process& Process(std::string_view aName);
 
-  /// Forgets a process that has ended.
-  void Forget(std::string_view aName);
+  /// Discards a process that has ended.
+  void Discard(std::string_view aName);
 
-  /// Writes a file into the temporary folder; returns its path.
+  /// Writes a file to the temporary folder; returns its path.
   std::filesystem::path WriteFile(std::string_view aName,
                                   std::string_view aText) const;
 
-  /// Begins a request; a connection's name makes calls share it. Returns the
-  /// call's number.
+  /// Sends a request and returns the number of its call. Calls with the same
+  /// connection name share a connection.
   std::uint64_t Begin(http_call_options aOptions, std::string_view aConnection);
 
-  /// The call of a number; throws scenario_failure.
+  /// The call of this number; throws scenario_failure if there is none.
   http_call& Call(std::uint64_t aNumber);
 
-  /// Waits for a call's end and forgets it.
+  /// Waits until a call has ended, discards it and returns its result.
   http_result Finish(std::uint64_t aNumber);
 
   relay_thread& Relays() { return mRelays; }
 
-  /// The last lines of each process's output, for a failure's report.
+  /// The end of each process's output, for a failure report.
   [[nodiscard]] std::string OutputTails() const;
 
 private:
--- a/Tests/Scenarios/ScenarioFailure.h
+++ b/Tests/Scenarios/ScenarioFailure.h
@@ -4,7 +4,8 @@
 
 namespace lycheeseam {
 
-/// A scenario can't go on: a process didn't start, a name is unknown.
+/// An error that ends a scenario, such as a process that didn't start or an
+/// unknown name.
 class scenario_failure : public error
 {
 public:
--- a/Tests/Scenarios/Support/1-Verbs.lua
+++ b/Tests/Scenarios/Support/1-Verbs.lua
@@ -1,10 +1,10 @@
--- The verbs that are made of the runner's own: expect, wait_until, send and
--- the like. Every wait has a bound, and no verdict depends on a duration.
+-- Functions built on the runner's verbs: expect, wait_until, send and others.
+-- Every wait has a bound, and no result depends on how long a step takes.
 
 POLL_MS = 10
 BOUND_MS = 8000
 
--- Marks a table as a list, so that an empty one isn't written as {}.
+-- Marks a table as a list, so that an empty one is encoded as [] and not as {}.
 function array(items)
   return setmetatable(items, { is_array = true })
 end
@@ -17,11 +17,12 @@
 
 function expect_equal(seen, wanted, what)
   if seen ~= wanted then
-    error(what .. ": wanted " .. tostring(wanted) .. ", saw " .. tostring(seen), 2)
+    error(what .. ": expected " .. tostring(wanted) .. ", got " .. tostring(seen), 2)
   end
 end
 
--- Polls a condition until it holds; fails the scenario at the bound.
+-- Polls a condition until it holds and returns its value; fails the scenario
+-- after bound_ms.
 function wait_until(what, condition, bound_ms)
   local deadline = now_ms() + (bound_ms or BOUND_MS)
   while true do
@@ -30,13 +31,14 @@
       return value
     end
     if now_ms() > deadline then
-      error("waited in vain until " .. what, 2)
+      error("timed out waiting until " .. what, 2)
     end
     rest(POLL_MS)
   end
 end
 
--- Watches that a condition keeps holding for a while.
+-- Polls a condition for duration_ms; fails the scenario as soon as it doesn't
+-- hold.
 function holds_for(what, duration_ms, condition)
   local deadline = now_ms() + duration_ms
   while now_ms() < deadline do
@@ -47,20 +49,20 @@
   end
 end
 
--- Starts a program on a port and waits until it listens.
+-- Starts a program and waits until it listens on a port.
 function start(name, program, port, arguments)
   start_process(name, program, arguments)
   wait_until(name .. " listens", function() return is_listening(port) end)
 end
 
--- Sends one request and waits for the answer; json is its body decoded.
+-- Sends a request and waits for the answer; its field json is the decoded body.
 function send(request)
   local answer = finish(begin(request))
   answer.json = decode(answer.body)
   return answer
 end
 
--- Sends many at once and waits for all.
+-- Sends requests at the same time and waits for all answers.
 function send_all(requests)
   local calls = {}
   for index, request in ipairs(requests) do
@@ -74,7 +76,7 @@
   return answers
 end
 
--- The value of an answer's header, or nil.
+-- The value of a header of an answer, or nil.
 function header(answer, name)
   for line in answer.headers:gmatch("[^\r\n]+") do
     local key, value = line:match("^([^:]+):%s*(.*)$")
@@ -85,7 +87,7 @@
   return nil
 end
 
--- The events of a streamed answer, decoded; done says whether [DONE] came.
+-- The decoded events of a streamed answer, and whether it contains [DONE].
 function events_of(body)
   local events, done = {}, false
   for data in body:gmatch("data: ([^\n]*)\n\n") do
@@ -110,7 +112,7 @@
   return table.concat(text)
 end
 
--- The text that a stand-in engine answers with.
+-- The text of a stand-in engine's answer.
 function expected_text(name, tokens)
   local text = {}
   for index = 0, tokens - 1 do
@@ -119,8 +121,9 @@
   return table.concat(text)
 end
 
--- Expects a streamed answer: whole, in order, and the one that was asked for.
-function expect_whole_stream(answer, name, tokens)
+-- Expects a complete streamed answer, in order, with the text that belongs to
+-- the request of this name.
+function expect_complete_stream(answer, name, tokens)
   expect_equal(answer.status, 200, "status of " .. name .. " " .. answer.body)
   expect_equal(answer.error, "", "end of " .. name)
   expect_equal(text_of(answer.body), expected_text(name, tokens), "text of " .. name)
@@ -131,7 +134,7 @@
   expect_equal(usage.completion_tokens, tokens, "tokens of " .. name)
 end
 
--- The counters of a process in Prometheus's text format, by name and labels.
+-- Reads the metrics of a process from /metrics; keys are names with labels.
 function counters(base)
   local values = {}
   local answer = send { url = base .. "/metrics" }
--- a/Tests/Scenarios/Support/2-StandIns.lua
+++ b/Tests/Scenarios/Support/2-StandIns.lua
@@ -1,8 +1,8 @@
--- How scenarios start the stand-ins and talk to them.
+-- Functions that start the stand-ins and send requests to them.
 
 HOST = "http://127.0.0.1:"
 
--- Starts an engine; flags are the program's own. Gives its port and address.
+-- Starts an engine with flags of its program. Returns its name, port and URL.
 function start_engine(name, flags)
   local port = flags and flags.port or free_port()
   local arguments = array { "--id=" .. name, "--port=" .. port }
@@ -15,30 +15,30 @@
   return { name = name, port = port, url = HOST .. port, flags = flags }
 end
 
--- Starts a plain service. Gives its port and address.
+-- Starts a service. Returns its name, port and URL.
 function start_service(name, port)
   port = port or free_port()
   start(name, "standin-service", port, array { "--id=" .. name, "--port=" .. port })
   return { name = name, port = port, url = HOST .. port }
 end
 
--- Sets a stand-in over its control call.
+-- Changes the settings of a running stand-in through /control.
 function control(server, settings)
   local answer = send { url = server.url .. "/control", body = settings }
   expect_equal(answer.status, 200, "control of " .. server.name)
 end
 
--- What a stand-in has counted.
+-- The counters of a stand-in.
 function counts(server)
   return send({ url = server.url .. "/control/counts" }).json
 end
 
--- How often a stand-in ran a request.
+-- How many times a stand-in ran the request of this identity.
 function runs(server, identity)
   return counts(server).runs[identity] or 0
 end
 
--- A chat request whose answer carries a name.
+-- A chat request to a base URL; the engine's answer contains the name.
 function chat(base, name, options)
   options = options or {}
   local prompt = (options.prompt or "") .. " [name:" .. name .. "]"
@@ -56,9 +56,9 @@
   }
 end
 
--- Waits until some tokens of a streamed call have come.
+-- Waits until a streamed call has received this many tokens.
 function wait_for_tokens(call, tokens)
-  wait_until(tokens .. " tokens have come", function()
+  wait_until(tokens .. " tokens are received", function()
     local _, seen = body_so_far(call):gsub("data: ", "")
     return seen >= tokens
   end)
--- a/Tests/Scenarios/Support/3-Routers.lua
+++ b/Tests/Scenarios/Support/3-Routers.lua
@@ -1,8 +1,8 @@
--- How scenarios start the platform and routers, and write operators' rows.
+-- Functions that start the platform and routers, and write configuration rows.
 
 MODEL = "tuk-tuk-7b"
 
--- The versions of the rows written so far, by kind and name.
+-- The current versions of the rows, by kind and name.
 local versions = {}
 
 function start_platform(name)
@@ -11,7 +11,7 @@
   return { name = name or "platform", port = port, url = HOST .. port }
 end
 
--- Replaces the platform's faults; none of them without a table.
+-- Replaces the platform's injected faults; without a table, clears them.
 function platform_faults(platform, faults)
   local answer = send {
     url = platform.url .. "/control/faults", method = "PUT", body = faults or {},
@@ -19,24 +19,25 @@
   expect_equal(answer.status, 200, "control of the platform")
 end
 
--- The log stops answering, and answers again.
-function log_out(platform) platform_faults(platform, { outage = true }) end
-function log_in(platform) platform_faults(platform) end
+-- The log does not answer during an outage.
+function start_log_outage(platform) platform_faults(platform, { outage = true }) end
+function end_log_outage(platform) platform_faults(platform) end
 
--- Appends a record to the log; gives its offset.
+-- Appends a record to the log; returns its offset.
 function append(platform, record)
   local answer = send { url = platform.url .. "/v1/log/records", body = encode(record) }
   expect_equal(answer.status, 200, "append to the log")
   return answer.json.offset
 end
 
--- A change of a row: row is its new form, nil to delete it.
+-- A change of a row; row is the new content, or nil to delete it.
 function change(kind, name, row)
   local base = versions[kind .. "/" .. name] or 0
   return { [kind] = { name = name, base = base, row = row } }
 end
 
--- Writes changes as one proposal, as an operator does.
+-- Writes changes as one proposal, as an operator's tool does; returns its
+-- offset.
 function put_rows(platform, changes)
   local tail = send({ url = platform.url .. "/v1/log/offsets" }).json.tail
   local record = { config_proposal = {
@@ -68,7 +69,7 @@
   })
 end
 
--- A caller's key; keys are known by their digests alone.
+-- A caller's key; the platform stores only its digest.
 function key_row(key, workspace)
   return change("key", sha256(key), { digest = sha256(key), workspace = workspace })
 end
@@ -107,8 +108,8 @@
   return change("route", name, row)
 end
 
--- Starts a router. options: domain, peers (a list of routers), settings (more
--- fields), platform (its address, if not directly), wait = false.
+-- Starts a router. options: ports, domain, peers (a list of routers), settings
+-- (further fields), platform_port (if not the platform's own, such as a relay).
 function start_router(name, platform, options)
   options = options or {}
   local ports = options.ports
@@ -142,14 +143,14 @@
 
 OPERATOR_KEY = "scenario-operator-key"
 
--- A caller's headers.
+-- Adds a caller's key to headers.
 function with_key(key, headers)
   headers = headers or {}
   headers["Authorization"] = "Bearer " .. key
   return headers
 end
 
-function ask(router, path, key, options)
+function router_request(router, path, key, options)
   options = options or {}
   return {
     url = router.url .. path,
@@ -161,14 +162,14 @@
   }
 end
 
-function ask_chat(router, name, key, options)
+function router_chat(router, name, key, options)
   options = options or {}
   options.headers = with_key(key, options.headers)
   options.model = options.model or MODEL
   return chat(router.url, name, options)
 end
 
--- A booking with an Idempotency-Key.
+-- A booking request with an Idempotency-Key, or without one if options.no_key.
 function booking(router, id, key, options)
   options = options or {}
   return {
@@ -180,16 +181,17 @@
   }
 end
 
--- Waits until a router has taken up the rows that a key and a path need.
+-- Waits until a router serves a path for a key, which needs their rows.
 function wait_until_serves(router, path, key)
   wait_until(router.name .. " serves " .. path, function()
-    return send(ask(router, path, key)).status == 200
+    return send(router_request(router, path, key)).status == 200
   end)
 end
 
--- The usual rows: a chat route that resumes, lookups, and bookings that run at
--- most once, for one workspace with one key.
-function put_usual_rows(platform, engines, services, options)
+-- Writes the rows that most scenarios use: a chat route that resumes on another
+-- server, lookups, and bookings that run at most once, for one workspace with
+-- one key.
+function put_default_rows(platform, engines, services, options)
   options = options or {}
   local rows = {
     workspace_row("shop-1"),
@@ -214,9 +216,9 @@
   return put_rows(platform, rows)
 end
 
--- Waits for a fleet that has been running for a while: every budget slot has a
--- holder, and the holders have read the log in touch with each other, which an
--- outage of the log must not find half done.
+-- Waits until every budget slot has a holder, and then long enough for the
+-- holders to read the log while in contact with each other. An outage of the
+-- log must not begin before that.
 function wait_until_fleet_runs(router)
   wait_until("all budget slots are held", function()
     local answer = send({
--- a/Tests/Scenarios/Support/4-Deployments.lua
+++ b/Tests/Scenarios/Support/4-Deployments.lua
@@ -1,5 +1,6 @@
--- The two deployments that we know, at their sizes: failure domains, backend
--- servers, entry instances and workspaces. Delays between domains are left out.
+-- The two known deployments at their real sizes: failure domains, backend
+-- servers, routers and workspaces. Network delays between domains are not
+-- simulated.
 
 CHAO_PHRAYA = {
   domains = 4,
@@ -7,7 +8,7 @@
   services = 4, service_name = "ledger",
   routers = 8,
   max_weight_loads = 2,
-  -- Tokens a second: a few large workspaces, the others small.
+  -- Rates in tokens per second: two large workspaces, the others small.
   workspaces = {
     ["shop-bangkok"] = 20000, ["shop-chiang-mai"] = 15000, ["shop-ayutthaya"] = 2000,
     ["shop-hat-yai"] = 1500, ["shop-nan"] = 1000,
@@ -30,7 +31,7 @@
   return "domain-" .. (index - 1) % deployment.domains + 1
 end
 
--- The key of a workspace of a deployment.
+-- The caller's key of a workspace.
 function key_of(workspace)
   return "key-of-" .. workspace
 end
@@ -57,12 +58,12 @@
   put_rows(platform, rows)
 end
 
--- Starts a deployment: platform, engines, services and routers, each router
--- with two peers to start from. Waits until every router serves everyone.
+-- Starts platform, engines, services and routers; each router is configured
+-- with up to two peers. Waits until every router serves every workspace.
 function start_deployment(deployment)
   local running = { platform = start_platform(), routers = {} }
   running.engines, running.services = start_servers(deployment)
-  put_usual_rows(running.platform, running.engines, running.services, {
+  put_default_rows(running.platform, running.engines, running.services, {
     pool = { max_weight_loads = deployment.max_weight_loads },
   })
   put_workspaces(running.platform, deployment)
@@ -80,8 +81,9 @@
   return running
 end
 
--- Sends a round of everything through every router for every workspace at once,
--- and expects each answer to be right.
+-- Sends a chat, a lookup and a booking for every workspace through every router
+-- at the same time; expects every answer to be correct and every booking to run
+-- once.
 function expect_all_served(deployment, running, round)
   local requests, names = {}, {}
   local function add(name, request)
@@ -90,15 +92,15 @@
   for index, router in ipairs(running.routers) do
     for workspace in pairs(deployment.workspaces) do
       local name = round .. "-" .. workspace .. "-" .. index
-      add(name, ask_chat(router, name, key_of(workspace), { max_tokens = 16 }))
-      add(name, ask(router, "/stock/" .. name, key_of(workspace)))
+      add(name, router_chat(router, name, key_of(workspace), { max_tokens = 16 }))
+      add(name, router_request(router, "/stock/" .. name, key_of(workspace)))
       add(name, booking(router, name, key_of(workspace)))
     end
   end
   for index, answer in ipairs(send_all(requests)) do
     local name, url = names[index], requests[index].url
     if url:find("/v1/chat", 1, true) then
-      expect_whole_stream(answer, name, 16)
+      expect_complete_stream(answer, name, 16)
     else
       expect_equal(answer.status, 200, "status of " .. url .. " for " .. name .. " " .. answer.body)
     end
@@ -112,8 +114,9 @@
   end
 end
 
--- Kills one engine, one service and one router; the router leaves the list.
-function lose_one_of_each(deployment, running)
+-- Kills one engine, one service and one router, and removes the service and the
+-- router from the lists.
+function kill_one_of_each(deployment, running)
   kill(deployment.engine_name .. "-1")
   kill(deployment.service_name .. "-1")
   table.remove(running.services, 1)
--- a/Tests/Scenarios/Verbs.h
+++ b/Tests/Scenarios/Verbs.h
@@ -8,15 +8,15 @@
 
 namespace lycheeseam {
 
-/// A verb of the scenario language: takes its arguments as an array, gives
-/// what the scenario sees, and throws to fail it.
+/// A verb of the scenario language. It takes its arguments as a JSON array and
+/// returns its result; any exception fails the scenario.
 struct scenario_verb
 {
   char const* mName;
   nlohmann::json (*mRun)(scenario& aScenario, nlohmann::json const& aArguments);
 };
 
-/// Verbs that start, stop and disturb processes.
+/// Verbs that start, stop and signal processes.
 std::span<scenario_verb const>
 ProcessVerbs();
 
@@ -24,7 +24,7 @@
 std::span<scenario_verb const>
 NetworkVerbs();
 
-/// Verbs that send requests and read answers.
+/// Verbs that send requests and read their answers.
 std::span<scenario_verb const>
 HttpVerbs();
 
--- a/Tests/Scenarios/curl_repeats_a_post_by_itself.lua
+++ b/Tests/Scenarios/curl_repeats_a_post_by_itself.lua
@@ -1,5 +1,6 @@
--- Why the router sends non-idempotent work on fresh connections: libcurl sends
--- a POST again by itself when a reused connection ends before the answer.
+-- Shows why the router sends non-idempotent requests on new connections:
+-- libcurl resends a POST by itself if a reused connection closes before the
+-- answer.
 local service = start_service("service-1")
 control(service, { close_after_posts = 2 })
 local function book(id, connection)
@@ -9,5 +10,5 @@
 expect_equal(book("second", "reused").status, 200, "status of the second booking")
 expect_equal(runs(service, "second"), 2, "runs of the second booking")
 
-expect_equal(book("third", nil).status, 200, "status on a fresh connection")
-expect_equal(runs(service, "third"), 1, "runs on a fresh connection")
+expect_equal(book("third", nil).status, 200, "status on a new connection")
+expect_equal(runs(service, "third"), 1, "runs on a new connection")
--- a/Tests/Scenarios/paused_process_goes_on.lua
+++ b/Tests/Scenarios/paused_process_goes_on.lua
@@ -1,4 +1,5 @@
--- A paused process answers nothing and goes on where it was.
+-- Checks the runner's verbs freeze and thaw: a paused process doesn't answer,
+-- and answers again after the pause.
 local service = start_service("service-1")
 freeze("service-1")
 expect(send({ url = service.url .. "/stock", timeout_ms = 200 }).error ~= "", "no answer while paused")
--- a/Tests/Scenarios/poison_request_costs_two_engines.lua
+++ b/Tests/Scenarios/poison_request_costs_two_engines.lua
@@ -1,5 +1,6 @@
--- A request that crashes each engine which runs it, sent again and again over
--- two routers: at most two engines are lost, and others' requests go on.
+-- A request that crashes every engine that runs it is sent repeatedly through
+-- two routers. It must crash at most two engines, and other requests keep
+-- working.
 local platform = start_platform()
 local engines = {}
 for index = 1, 5 do
@@ -7,21 +8,21 @@
   control(engines[index], { crash_on = "poison-pill" })
 end
 local service = start_service("service-1")
-put_usual_rows(platform, engines, { service })
+put_default_rows(platform, engines, { service })
 local routers = { start_router("router-1", platform) }
 routers[2] = start_router("router-2", platform, { peers = { routers[1] } })
 wait_until_serves(routers[1], "/stock", "key-1")
 wait_until_serves(routers[2], "/stock", "key-1")
 
 for attempt = 1, 6 do
-  send(ask_chat(routers[attempt % 2 + 1], "poison-pill", "key-1"))
+  send(router_chat(routers[attempt % 2 + 1], "poison-pill", "key-1"))
 end
 local alive = 0
 for _, engine in ipairs(engines) do
   alive = alive + (is_listening(engine.port) and 1 or 0)
 end
-expect(alive >= 3, "three of five engines are alive, not " .. alive)
+expect(alive >= 3, "at least three of five engines are running, not " .. alive)
 for index = 1, 4 do
   local name = "good-" .. index
-  expect_whole_stream(send(ask_chat(routers[index % 2 + 1], name, "key-1")), name, 8)
+  expect_complete_stream(send(router_chat(routers[index % 2 + 1], name, "key-1")), name, 8)
 end
--- a/Tests/Scenarios/racing_operators.lua
+++ b/Tests/Scenarios/racing_operators.lua
@@ -1,8 +1,8 @@
--- Two operators change the same row from the same version: the first in the
--- log wins, on every router, and stays.
+-- Two operators change the same row from the same version. The first proposal
+-- in the log must be applied on every router and stay in force.
 local platform = start_platform()
 local first, second = start_service("first"), start_service("second")
-put_usual_rows(platform, nil, { first, second })
+put_default_rows(platform, nil, { first, second })
 local routers = { start_router("router-1", platform), start_router("router-2", platform) }
 wait_until_serves(routers[1], "/stock", "key-1")
 wait_until_serves(routers[2], "/stock", "key-1")
@@ -21,7 +21,7 @@
 local function servers_seen(router)
   local seen = {}
   for _ = 1, 6 do
-    seen[send(ask(router, "/stock", "key-1")).json.server] = true
+    seen[send(router_request(router, "/stock", "key-1")).json.server] = true
   end
   return seen
 end
@@ -31,7 +31,7 @@
     return seen["first"] and not seen["second"]
   end)
 end
--- An append that lands after its last offset doesn't count.
+-- A proposal that lands after its last offset is ignored.
 append(platform, proposal("late", second, 1))
 holds_for("the first proposal is in force", 500, function()
   return not servers_seen(routers[1])["second"] and not servers_seen(routers[2])["second"]
--- a/Tests/Scenarios/relay_cuts_and_heals.lua
+++ b/Tests/Scenarios/relay_cuts_and_heals.lua
@@ -1,18 +1,18 @@
--- The runner's relay: held back while cut, through when healed, and an answer
--- that is lost after its request has run.
+-- Checks the runner's relay: it holds bytes back while cut, forwards them when
+-- healed, and can lose the answer to a request that has run.
 local service = start_service("service-1")
-local way = HOST .. relay("way", service.port)
-expect_equal(send({ url = way .. "/stock" }).status, 200, "status before the cut")
+local relay_url = HOST .. relay("way", service.port)
+expect_equal(send({ url = relay_url .. "/stock" }).status, 200, "status before the cut")
 
 cut("way")
-local held = begin { url = way .. "/stock" }
-local late = send { url = way .. "/stock", timeout_ms = 200 }
-expect(late.error ~= "", "a cut way answers nothing")
+local held = begin { url = relay_url .. "/stock" }
+local late = send { url = relay_url .. "/stock", timeout_ms = 200 }
+expect(late.error ~= "", "no answer arrives through a cut relay")
 heal("way")
 expect_equal(finish(held).status, 200, "status of a call that was held back")
 
 lose_next_answer("way")
-local lost = send { url = way .. "/bookings", body = { id = "lost" } }
+local lost = send { url = relay_url .. "/bookings", body = { id = "lost" } }
 expect_equal(lost.status, 0, "status of a lost answer")
 expect_equal(runs(service, "lost"), 1, "runs of a booking whose answer was lost")
-expect_equal(send({ url = way .. "/stock" }).status, 200, "status after the loss")
+expect_equal(send({ url = relay_url .. "/stock" }).status, 200, "status after the loss")
--- a/Tests/Scenarios/riga_doubled_booking.lua
+++ b/Tests/Scenarios/riga_doubled_booking.lua
@@ -1,10 +1,10 @@
--- Riga's brake job: the workshop runs the booking, its answer is lost, and the
--- member's app sends it again over the other router. One mechanic comes.
+-- A booking runs, its answer is lost, and the caller's app sends it again
+-- through the other router, as seen with brake jobs in Riga. It must run once.
 local platform = start_platform()
 local service = start_service("workshop-1")
 local spare = start_service("workshop-2")
 service.through = relay("way", service.port)
-put_usual_rows(platform, nil, { service, spare })
+put_default_rows(platform, nil, { service, spare })
 local routers = { start_router("router-1", platform) }
 routers[2] = start_router("router-2", platform, { peers = { routers[1] } })
 wait_until_serves(routers[1], "/stock", "key-1")
@@ -23,6 +23,6 @@
   end
   expect_equal(total(id), 1, "runs of " .. id .. " (" .. table.concat(verdicts, ", ") .. ")")
   for attempt = 2, 4 do
-    expect(verdicts[attempt] ~= "not_run", "a repeat of " .. id .. " never hears that it hasn't run")
+    expect(verdicts[attempt] ~= "not_run", "a repeat of " .. id .. " is not answered as not run")
   end
 end
