--- a/Tests/Scenarios/Scenario.h
+++ b/Tests/Scenarios/Scenario.h
@@ -23,8 +23,8 @@
   scenario(scenario const&) = delete;
   scenario& operator=(scenario const&) = delete;
 
-  /// Starts a program of the build; throws scenario_failure if a process of
-  /// this name is running.
+  /// Starts a program of the build; throws scenario_failure if the name
+  /// is in use.
   void Start(std::string_view aName,
              std::string_view aProgram,
              std::span<std::string const> aArguments);
