--- a/Libraries/LibPeer/FleetReport.h
+++ b/Libraries/LibPeer/FleetReport.h
@@ -33,9 +33,9 @@
   std::vector<backend_server_id> mUpdating;
   /// Servers that read shared prompt parts since the last report.
   std::vector<prefix_holder> mHolders;
-  /// What all instances admitted in the quota window that ends now. Empty
-  /// until the sender has counted for a full window, and except on new links:
-  /// other receivers can count it themselves.
+  /// What all instances admitted in the quota window that ends now. Sent on new
+  /// links only, once the sender has counted for a full window, and empty
+  /// otherwise: other receivers can count it themselves.
   std::vector<workspace_usage> mUsed;
   /// The offset after the last of the operators' records that the sender has.
   std::uint64_t mOperatorsEnd = 0;
--- a/Libraries/LibPeer/PeerCounters.h
+++ b/Libraries/LibPeer/PeerCounters.h
@@ -13,8 +13,10 @@
   std::uint64_t mDialled = 0;
   std::uint64_t mAccepted = 0;
   std::uint64_t mFramesSent = 0;
+  /// Bytes of the frames, headers included.
   std::uint64_t mBytesSent = 0;
   std::uint64_t mFramesReceived = 0;
+  /// Bytes of the frames' content, without the headers.
   std::uint64_t mBytesReceived = 0;
   /// Messages dropped because a queue was full or the message too large.
   std::uint64_t mDropped = 0;
--- a/Libraries/LibPeer/PeerHub.h
+++ b/Libraries/LibPeer/PeerHub.h
@@ -54,7 +54,7 @@
   /// Starts the timer that dials peers and supervises links.
   void Start();
 
-  /// Replaces the peers to keep links to.
+  /// Replaces the peers to keep links to. Open links to other peers stay.
   void SetPeers(std::span<peer_contact const> aContacts);
 
   /// Queues a message to one peer.
@@ -95,7 +95,7 @@
   {
     std::shared_ptr<connection> mConnection;
     link_direction mDirection = link_direction::Dialled;
-    /// Where the link was dialled to.
+    /// The address that was dialled; nothing for an accepted link.
     std::optional<endpoint> mDialled;
     instant mOpenedAt{};
     /// Set once the hello of the peer has arrived.
--- a/Libraries/LibPeer/PeerHubOptions.h
+++ b/Libraries/LibPeer/PeerHubOptions.h
@@ -12,7 +12,10 @@
 /// Limits and intervals of the links of one process.
 struct peer_hub_options
 {
+  /// Larger messages are not sent; a larger frame from a peer closes the link.
   std::size_t mMaxFrameBytes = 16 << 20;
+  /// The most that waits or is being written on one link; messages beyond it
+  /// are dropped.
   std::size_t mMaxQueueBytes = 32 << 20;
   /// Limit from the opening of a connection to the peer's hello.
   duration mHelloTimeout = std::chrono::seconds{ 2 };
--- a/Libraries/LibPeer/SendQueue.cpp
+++ b/Libraries/LibPeer/SendQueue.cpp
@@ -6,7 +6,8 @@
 
 namespace {
 
-// One system call takes a limited number of buffers.
+// The most frames written together: one system call takes a limited number of
+// buffers.
 constexpr std::size_t kMaxBatchFrames = 64;
 
 }
--- a/Libraries/LibPlatform/CheckpointPolicy.h
+++ b/Libraries/LibPlatform/CheckpointPolicy.h
@@ -43,6 +43,7 @@
   /// The newest checkpoint: the last offset it covers and its own offset.
   log_offset mCovers;
   log_offset mRecordOffset;
+  /// True until the next call of IsDue, which passes in the time for mSeenAt.
   bool mIsNew = true;
   instant mSeenAt{};
   std::optional<instant> mDueAt;
--- a/Libraries/LibPlatform/FollowerOptions.h
+++ b/Libraries/LibPlatform/FollowerOptions.h
@@ -8,6 +8,7 @@
 /// Sizes, waits and backoff of a follower's reads of the log.
 struct follower_options
 {
+  /// The most records of one read.
   std::uint32_t mMaxRecords = 256;
   /// How long the log may hold a read back until there is a new record.
   std::chrono::milliseconds mMaxWait{ 1000 };
--- a/Libraries/LibPlatform/HttpTransfer.h
+++ b/Libraries/LibPlatform/HttpTransfer.h
@@ -43,6 +43,7 @@
   http_call mCall;
   http_reply mReply;
   completion mDone;
+  /// Removes the Expect header that libcurl would add to large bodies.
   header_list mHeaders;
   handle mHandle;
 };
--- a/Libraries/LibPlatform/PendingAppend.h
+++ b/Libraries/LibPlatform/PendingAppend.h
@@ -16,15 +16,18 @@
 struct pending_append
 {
   log_record mRecord;
+  /// Copies of the record past this offset are not applied.
   log_offset mLastOffset;
   outcome_callback mDone;
+  /// When failed appends are no longer retried.
   instant mGiveUpAt{};
   backoff mBackoff;
   bool mIsSending = false;
-  /// The log accepted a copy, or an answer was lost: a copy may be in the log
-  /// or be stored later.
+  /// The log accepted a copy, or an append got no valid answer: a copy may be
+  /// in the log or be stored later.
   bool mMayBeInLog = false;
-  /// A checkpoint replaced offsets at which the record may be.
+  /// The state was loaded from a checkpoint after the record was submitted, so
+  /// the record's entry may never be seen.
   bool mWasSkipped = false;
   /// The offset at which the log accepted a copy; 0 before that.
   log_offset mAcceptedAt{};
--- a/Libraries/LibPlatform/PlatformCalls.cpp
+++ b/Libraries/LibPlatform/PlatformCalls.cpp
@@ -8,6 +8,7 @@
 namespace {
 
 constexpr long kStatusOk = 200;
+// Answers a read whose offset is before the retained range.
 constexpr long kStatusGone = 410;
 
 std::string
--- a/Libraries/LibPlatform/ReadResult.h
+++ b/Libraries/LibPlatform/ReadResult.h
@@ -13,7 +13,7 @@
 {
   read_status mStatus = read_status::Unavailable;
   std::vector<log_entry> mEntries;
-  /// The log's range when it answered; unset when it is unavailable.
+  /// The log's range when it answered; the default when it is unavailable.
   log_range mRange;
 
   bool operator==(read_result const&) const = default;
