--- a/Libraries/LibHttp/HttpClient.cpp
+++ b/Libraries/LibHttp/HttpClient.cpp
@@ -22,6 +22,7 @@
 
 }
 
+// One running call: its connection, time limit and answer.
 class http_client::transfer
   : public std::enable_shared_from_this<http_client::transfer>
 {
--- a/Libraries/LibHttp/WatchLiveness.cpp
+++ b/Libraries/LibHttp/WatchLiveness.cpp
@@ -11,6 +11,7 @@
 // The shortest times that the kernel allows.
 constexpr int kProbeAfterSeconds = 1;
 constexpr int kProbeIntervalSeconds = 1;
+// Without TCP_USER_TIMEOUT, the connection fails after this many probes.
 constexpr int kProbes = 2;
 
 void
--- a/Libraries/LibUpstream/Transfer.cpp
+++ b/Libraries/LibUpstream/Transfer.cpp
@@ -7,16 +7,16 @@
 
 namespace {
 
-// Except for event streams, an answer up to this size is buffered until it is
-// complete, so that a retry or a correct refusal is still possible when the
-// backend server fails.
+// Except for event streams below kFirstErrorStatus, an answer up to this size
+// is buffered until it is complete, so that a retry or a correct refusal is
+// still possible when the backend server fails.
 constexpr std::size_t kMaxBufferedBytes = 4UL * 1024 * 1024;
 
 // An attempt whose answer brings no bytes for this long fails.
 constexpr long kStallSeconds = 30;
 
 // From this status on the answer is a failure of the backend server, which the
-// control thread may retry at another one; it is never forwarded in pieces.
+// control thread may retry at another one. So an event stream is buffered too.
 constexpr std::uint16_t kFirstErrorStatus = 500;
 
 // The empty line that ends an event of an event stream.
@@ -65,6 +65,7 @@
 void
 transfer::SetHeaders()
 {
+  // Keeps libcurl from adding "Expect: 100-continue".
   curl_slist* list = curl_slist_append(nullptr, "Expect:");
   for (header_field const& field : mRequest.mHeaders) {
     std::string const line = field.mName + ": " + field.mValue;
--- a/Libraries/LibUpstream/UpstreamLoop.h
+++ b/Libraries/LibUpstream/UpstreamLoop.h
@@ -136,7 +136,9 @@
   }
 
   // Ends transfers whose first byte is overdue. A transfer that has its first
-  // byte keeps its entry until the deadline, so that no entry is searched for.
+  // byte, or has ended, keeps its entry in mDeadlines until the deadline, so
+  // that no entry is searched for. The call may then run a later attempt, whose
+  // own deadline is checked.
   void EndOverdue()
   {
     instant const now = mClock.Now();
--- a/Libraries/LibUpstream/UpstreamRequest.h
+++ b/Libraries/LibUpstream/UpstreamRequest.h
@@ -41,6 +41,7 @@
   answer_position mPosition = answer_position::Start;
   event_recording mRecording = event_recording::Off;
   std::chrono::milliseconds mConnectTimeout{ 1000 };
+  /// From the start of the attempt, so it includes the time to connect.
   std::chrono::milliseconds mFirstByteTimeout{ 30000 };
 };
 
--- a/Services/lycheeseamd/PlannedStop.h
+++ b/Services/lycheeseamd/PlannedStop.h
@@ -41,6 +41,8 @@
   // Callers that cache an earlier list of addresses still connect for this
   // long.
   static constexpr std::chrono::milliseconds kAcceptTime{ 2'500 };
+  // An idle gateway stops no earlier than this. It exceeds kAcceptTime, so the
+  // gateway is closed to new connections by then.
   static constexpr std::chrono::milliseconds kMinStopTime{ 3'000 };
   // The stop ends this long before the platform kills the process.
   static constexpr std::chrono::milliseconds kKillMargin{ 300 };
