--- a/Libraries/LibCodec/ClaimCheckpoint.h
+++ b/Libraries/LibCodec/ClaimCheckpoint.h
@@ -7,7 +7,8 @@
 
 namespace lycheeseam {
 
-/// Writes the checkpoint section of request claims as JSON text.
+/// Writes the checkpoint section of request claims as JSON text; throws
+/// codec_error when a text in it is not UTF-8.
 std::string
 EncodeClaimState(claim_state const& aState);
 
--- a/Libraries/LibCodec/ConfigFileCodec.h
+++ b/Libraries/LibCodec/ConfigFileCodec.h
@@ -7,7 +7,8 @@
 
 namespace lycheeseam {
 
-/// Writes a configuration file as JSON text.
+/// Writes a configuration file as JSON text; throws codec_error when a
+/// text in it is not UTF-8.
 std::string
 EncodeConfigFile(config_file const& aFile);
 
--- a/Libraries/LibCodec/ObjectSerializer.h
+++ b/Libraries/LibCodec/ObjectSerializer.h
@@ -91,6 +91,7 @@
                          nlohmann::json& aObject)
   {
     nlohmann::json value = Field::serializer::Write(aValue.*aField.mMember);
+    // A null value, such as that of an empty optional, is left out.
     if (!value.is_null())
       aObject[std::string{ aField.mName }] = std::move(value);
   }
--- a/Libraries/LibCodec/SlotCheckpoint.h
+++ b/Libraries/LibCodec/SlotCheckpoint.h
@@ -9,7 +9,8 @@
 
 namespace lycheeseam {
 
-/// Writes the checkpoint section of budget slots as JSON text.
+/// Writes the checkpoint section of budget slots as JSON text; throws
+/// codec_error when a text in it is not UTF-8.
 std::string
 EncodeSlotHolders(std::map<slot_id, slot_holder> const& aHolders);
 
--- a/Libraries/LibConfigLog/ConfigRule.h
+++ b/Libraries/LibConfigLog/ConfigRule.h
@@ -7,11 +7,13 @@
 {
   /// A proposal has at least one change, and changes each row at most once.
   DistinctChanges,
-  /// Its last offset is at most config_fold's limit ahead of its own offset.
+  /// Its last offset is at most config_fold::kMaxLastOffsetLead ahead of its
+  /// own offset.
   LastOffset,
   /// A row's name is well formed and equals the name in its change.
   RowName,
-  /// A row's numbers and texts lie within their bounds.
+  /// A row's numbers and texts lie within their bounds, and a pool names a
+  /// model exactly when it is a model pool.
   Bounds,
   /// A route's path prefix starts with a slash, and no other route has the
   /// same prefix and model.
--- a/Libraries/LibConfigLog/ConfigState.h
+++ b/Libraries/LibConfigLog/ConfigState.h
@@ -11,8 +11,8 @@
 struct config_state
 {
   config_tables mTables;
-  /// Outcomes of proposals whose duplicates may still count, and some older
-  /// ones, in the order of their last offsets.
+  /// Outcomes of proposals whose last offsets lie at most
+  /// config_fold::kOutcomeRetention back, in the order of those offsets.
   std::deque<proposal_outcome> mRecentOutcomes;
 
   bool operator==(config_state const&) const = default;
--- a/Libraries/LibConfigLog/ReferenceCheck.h
+++ b/Libraries/LibConfigLog/ReferenceCheck.h
@@ -10,8 +10,8 @@
 namespace lycheeseam {
 
 /// Checks the references between rows in the tables as they would be after the
-/// changes: named rows exist and are of the right kind, no two routes match the
-/// same requests, and a server has one address.
+/// changes: named rows exist and are of the right kind, no two routes have the
+/// same path prefix and model, and a server has one address.
 void
 CheckReferences(config_tables const& aChanged,
                 std::span<any_row_change const> aChanges,
--- a/Libraries/LibCore/Identifiers.h
+++ b/Libraries/LibCore/Identifiers.h
@@ -56,7 +56,8 @@
 using event_sequence = ordinal<struct event_sequence_tag>;
 
 /// A fencing token: the log offset of the record that granted a lease. Engines
-/// refuse orders with a smaller number than one that they have seen.
+/// that check it refuse orders with a smaller number than the highest one that
+/// they have received.
 using fencing_number = ordinal<struct fencing_tag>;
 
 /// A number of tokens; signed, because balances may be negative.
--- a/Libraries/LibCore/ServerIdentity.h
+++ b/Libraries/LibCore/ServerIdentity.h
@@ -7,7 +7,7 @@
 namespace lycheeseam {
 
 /// A backend server id together with the incarnation of its process: a server
-/// that restarts after a crash has another one.
+/// that restarts after a crash gets a new incarnation.
 struct server_identity
 {
   backend_server_id mServer;
