--- a/Libraries/LibAdmin/AdminCall.h
+++ b/Libraries/LibAdmin/AdminCall.h
@@ -8,7 +8,8 @@
 
 namespace lycheeseam {
 
-/// What an operator's call does to its resource; stands for the HTTP method.
+/// What an operator's call does to its resource. The values stand for the HTTP
+/// methods GET, PUT, DELETE and POST, in this order.
 enum class admin_verb
 {
   Read,
--- a/Libraries/LibAdmin/AdminServer.cpp
+++ b/Libraries/LibAdmin/AdminServer.cpp
@@ -9,7 +9,9 @@
 
 namespace {
 
+// The largest request, headers included.
 constexpr std::size_t kMaxRequestBytes = 16UL * 1024 * 1024;
+// Pistache limits the buffer in which it builds an answer to this size.
 constexpr std::size_t kMaxAnswerBytes = 64UL * 1024 * 1024;
 
 class admin_handler : public Pistache::Http::Handler
--- a/Libraries/LibAdmin/RowCalls.cpp
+++ b/Libraries/LibAdmin/RowCalls.cpp
@@ -10,6 +10,8 @@
 
 namespace {
 
+// Parses a row name from a path. The unused pointer selects the overload by the
+// type of the table's row names.
 digest
 ParseRowName(std::string const& aText, digest const*)
 {
--- a/Libraries/LibEvents/EventRateLimit.h
+++ b/Libraries/LibEvents/EventRateLimit.h
@@ -21,7 +21,8 @@
   /// True when a line may be written now; otherwise counts it as dropped.
   [[nodiscard]] bool TryTake(instant aNow);
 
-  /// Takes the number of lines dropped since the last call.
+  /// Takes the number of lines that TryTake and OnDropped counted as dropped
+  /// since the last call.
   [[nodiscard]] std::uint64_t TakeDropped();
 
   /// Counts a line that was dropped after TryTake admitted it.
--- a/Libraries/LibFront/CallSink.h
+++ b/Libraries/LibFront/CallSink.h
@@ -16,8 +16,9 @@
 };
 
 /// Receives callers' requests and the changes of their connections, on the
-/// threads of the front workers. The two bodies are JSON for GET requests that
-/// the front workers answer themselves.
+/// threads of the front workers. ModelsBody and InstancesBody return the JSON
+/// answers to GET /v1/models and /v1/instances, which the front workers send
+/// themselves.
 template<typename Sink>
 concept call_sink = requires(Sink& aSink,
                              caller_request aRequest,
--- a/Libraries/LibFront/CallerAnswer.cpp
+++ b/Libraries/LibFront/CallerAnswer.cpp
@@ -14,6 +14,8 @@
 
 constexpr std::string_view kLineEnd = "\r\n";
 
+// Formats bytes as one chunk of HTTP's chunked transfer coding: the size in
+// hexadecimal digits, then the bytes.
 std::string
 FormatChunk(std::string_view aBytes)
 {
--- a/Libraries/LibFront/FrontWorker.h
+++ b/Libraries/LibFront/FrontWorker.h
@@ -25,7 +25,8 @@
 class front_worker
 {
 public:
-  /// The bits of a call's number from this one on are the index of its worker.
+  /// The bits of a call's number from this one on are the index of its worker;
+  /// the lower bits count that worker's calls.
   static constexpr unsigned kIndexShift = 48;
 
   front_worker(Sink& aSink, front_options const& aOptions, std::size_t aIndex)
--- a/Libraries/LibFront/WorkerWake.cpp
+++ b/Libraries/LibFront/WorkerWake.cpp
@@ -10,7 +10,10 @@
 
 namespace {
 
+// Without a wake, the timer fires after this delay; the callback then runs once
+// and the timer is armed again.
 constexpr std::chrono::hours kIdleDelay{ 1 };
+// Not 0, which would disarm the timer.
 constexpr long kMinDelayNanoseconds = 1;
 
 void
--- a/Libraries/LibMetrics/EventRate.h
+++ b/Libraries/LibMetrics/EventRate.h
@@ -14,6 +14,7 @@
 class event_rate
 {
 public:
+  /// The window of the mean rate, in ticks.
   static constexpr std::size_t kWindowTicks = 15;
 
   event_rate();
--- a/Libraries/LibOpenAi/EventStreamScan.h
+++ b/Libraries/LibOpenAi/EventStreamScan.h
@@ -17,14 +17,15 @@
   /// Scans the next bytes of the stream; they may begin and end anywhere.
   void Consume(std::string_view aBytes);
 
-  /// The number of events with content so far: a lower bound of the tokens
-  /// sent.
+  /// The number of events with data so far, without "[DONE]"; serves as a lower
+  /// bound of the tokens sent.
   [[nodiscard]] std::uint64_t Events() const noexcept { return mEvents; }
 
   /// True once the stream's last event, "[DONE]", has been scanned.
   [[nodiscard]] bool IsDone() const noexcept { return mDone; }
 
-  /// True when the bytes so far end with a complete event.
+  /// True when the bytes so far end with a complete line, so that no event is
+  /// broken off within its line.
   [[nodiscard]] bool IsAtEventEnd() const noexcept { return mLine.empty(); }
 
   /// The usage, which engines report in the last event before "[DONE]".
--- a/Libraries/LibOpenAi/ParseCompletion.cpp
+++ b/Libraries/LibOpenAi/ParseCompletion.cpp
@@ -81,6 +81,7 @@
 std::optional<token_count>
 MaxTokensOf(json const& aBody)
 {
+  // The first of these fields that has a value counts.
   static constexpr std::array kNames{ "max_completion_tokens", "max_tokens" };
   for (char const* const name : kNames) {
     auto const field = aBody.find(name);
--- a/Libraries/LibSettings/FleetSettings.h
+++ b/Libraries/LibSettings/FleetSettings.h
@@ -15,12 +15,17 @@
 {
   instance_id mInstance;
   failure_domain mDomain;
+  /// The listen address for callers' requests.
   endpoint mCallers;
+  /// The listen address for readiness queries.
   endpoint mReadiness;
+  /// The listen address for address queries.
   endpoint mAddresses;
+  /// The listen address for peers.
   endpoint mPeers;
   /// The listen address for metrics; metrics aren't served without it.
   std::optional<endpoint> mMetrics;
+  /// The address of the platform's store.
   endpoint mStore;
   /// The processor cores that this instance has; 0 when unknown.
   double mCores = 0;
@@ -29,9 +34,10 @@
   /// The units per window that a workspace may use beyond its rate and burst.
   std::uint64_t mQuotaSlack = 0;
   std::chrono::milliseconds mQuotaWindow{ 8'000 };
-  /// The most retries per 100 first attempts, over all instances.
+  /// The most retries of a pool per 100 first attempts, over all instances.
   std::uint64_t mRetryPercent = 20;
-  /// The retries allowed per window beyond that share, over all instances.
+  /// The retries of a pool allowed per window beyond that share, over all
+  /// instances.
   std::uint64_t mRetrySlack = 50;
   std::chrono::milliseconds mRetryWindow{ 10'000 };
   /// How long after a new target version requests may still start on older
--- a/Libraries/LibSettings/ParseUniqueJson.cpp
+++ b/Libraries/LibSettings/ParseUniqueJson.cpp
@@ -12,8 +12,9 @@
 
 namespace {
 
-// The library silently keeps the last of two fields of the same name, so that a
-// file could give one setting two values; its parser events show both.
+// The JSON library silently keeps the last of two fields of the same name, so
+// that a file could give one setting two values; its parser events show both.
+// They don't show the path, so a fault has "$..FIELD", a field at any depth.
 class duplicate_field_finder
 {
 public:
--- a/Utilities/lycheeseamctl/AdminClient.cpp
+++ b/Utilities/lycheeseamctl/AdminClient.cpp
@@ -49,6 +49,7 @@
 {
   std::string const key = "Authorization: Bearer " + aOptions.mKey;
   curl_slist* list = curl_slist_append(nullptr, key.c_str());
+  // A header without a value makes curl omit it ("Expect: 100-continue").
   list = curl_slist_append(list, "Expect:");
   list = curl_slist_append(list, "Content-Type: application/json");
   if (!aOptions.mIfMatch.empty()) {
@@ -70,6 +71,7 @@
   std::string const url = "http://" + aOptions.mServer.Text() + aCommand.mPath;
   admin_reply reply;
   curl_easy_setopt(handle.get(), CURLOPT_URL, url.c_str());
+  // An empty name makes curl ignore the proxies of the environment.
   curl_easy_setopt(handle.get(), CURLOPT_PROXY, "");
   curl_easy_setopt(handle.get(), CURLOPT_HTTPHEADER, headers.get());
   curl_easy_setopt(handle.get(), CURLOPT_TIMEOUT, kTimeoutSeconds);
--- a/Utilities/lycheeseamctl/ExitCode.h
+++ b/Utilities/lycheeseamctl/ExitCode.h
@@ -12,7 +12,8 @@
   Failure = 1,
   /// The command line is wrong.
   Usage = 2,
-  /// The call is malformed or unauthorized, or names a missing row.
+  /// The call is malformed or unauthorized, or names a missing row; also stands
+  /// for any HTTP status that has no value of its own here.
   BadCall = 3,
   /// A row was changed concurrently; both versions are printed.
   Conflict = 4,
