--- a/Bench/Decisions/EngineJob.h
+++ b/Bench/Decisions/EngineJob.h
@@ -21,6 +21,7 @@
   token_count mStoredTokens = 0;
   priority_class mPriority = priority_class::Normal;
   bool mIsStarted = false;
+  /// Prompt tokens that were in the cache when the prefill began.
   token_count mCachedTokens = 0;
   /// Work left before the first token, in prefill tokens.
   double mWork = 0;
--- a/Bench/Decisions/FakeEngine.cpp
+++ b/Bench/Decisions/FakeEngine.cpp
@@ -12,11 +12,13 @@
 
 using namespace std::chrono_literals;
 
-/// About 100,000 tokens, which load replaces within seconds.
+/// The capacity of the prefix cache: about 100,000 tokens, which load replaces
+/// within seconds.
 constexpr std::size_t kCacheBlocks = 400;
 /// The most prefill work in one step, in tokens.
 constexpr double kChunk = 2048;
 constexpr std::size_t kMaxRunning = 64;
+/// The least duration of a step, and how much each running job adds to it.
 constexpr duration kStepBase = 12ms;
 constexpr duration kStepPerRunning = 100us;
 /// The fixed cost of an import, in prefill tokens.
--- a/Bench/Decisions/Measure.cpp
+++ b/Bench/Decisions/Measure.cpp
@@ -79,7 +79,7 @@
   aResult.mMedianWorkspaceP99 = Percentile(tails, 0.5);
   aResult.mWorstWorkspaceP99 = *std::ranges::max_element(tails);
   // A flooding workspace waits because of its own rate limit, which is fair, so
-  // it is excluded.
+  // it is excluded, in the other cases too.
   tails.erase(tails.begin() + kFloodingWorkspace);
   aResult.mWorstOtherP99 = *std::ranges::max_element(tails);
 }
--- a/Bench/Decisions/RouterInstance.h
+++ b/Bench/Decisions/RouterInstance.h
@@ -53,8 +53,8 @@
 
   fair_queue mQueue;
   block_shard mShard;
-  /// The prefixes that this instance sent recently, for lookups without an
-  /// answer.
+  /// The prefixes that this instance sent recently, for lookups whose
+  /// answer is lost or empty.
   block_shard mRecent{ { .mEntries = kRecentEntries } };
   retry_budget mRetries;
 
--- a/Bench/Decisions/SimulationConstants.h
+++ b/Bench/Decisions/SimulationConstants.h
@@ -11,8 +11,12 @@
 
 /// Delay in one direction inside a failure domain.
 inline constexpr duration kNearHop = std::chrono::microseconds{ 100 };
+/// How often an engine publishes its load, and how old the load is when the
+/// instances receive it.
 inline constexpr duration kLoadInterval = std::chrono::milliseconds{ 250 };
 inline constexpr duration kLoadLag = std::chrono::milliseconds{ 200 };
+/// How often an engine publishes its cache events, and how long after that the
+/// instances receive them.
 inline constexpr duration kEventInterval = std::chrono::milliseconds{ 100 };
 inline constexpr duration kEventLag = std::chrono::milliseconds{ 300 };
 /// How long a crashed worker is down.
@@ -27,6 +31,7 @@
 inline constexpr double kRateHeadroom = 1.3;
 /// A workspace's burst, in seconds of its rate.
 inline constexpr double kBurstSeconds = 5.0;
+/// The capacity of the KV store that all engines share, in blocks.
 inline constexpr std::size_t kStoreBlocks = 4000;
 /// The fraction of lookups that is lost.
 inline constexpr double kLookupLoss = 0.005;
--- a/Bench/Peers/MeasureSupervision.cpp
+++ b/Bench/Peers/MeasureSupervision.cpp
@@ -113,6 +113,7 @@
           .mValue = aValue,
           .mUnit = aUnit });
     };
+  // The time to the crash plus the mean of its random phase, in seconds.
   double const span = static_cast<double>(kRounds) * 125.0;
   add("supervision frames on a link", frames / span, "frames/s");
   add("death noticed, mean",
--- a/Bench/Services/ServiceResult.h
+++ b/Bench/Services/ServiceResult.h
@@ -8,6 +8,8 @@
 struct service_result
 {
   std::string mName;
+  /// Percentiles of the time from a request's arrival to its answer, over the
+  /// answered requests.
   double mP50Milliseconds = 0;
   double mP99Milliseconds = 0;
   double mP999Milliseconds = 0;
--- a/Bench/Slopes/FairQueueSlope.cpp
+++ b/Bench/Slopes/FairQueueSlope.cpp
@@ -17,7 +17,7 @@
 constexpr std::array kWorkspaces{ std::size_t{ 5 },
                                   std::size_t{ 50 },
                                   std::size_t{ 470 } };
-/// The length at which the queue is kept.
+/// The number of requests that wait in the queue while it is measured.
 constexpr std::size_t kWaiting = 1000;
 constexpr std::size_t kRequests = 100'000;
 
--- a/StandIns/EngineModel/EngineBatch.h
+++ b/StandIns/EngineModel/EngineBatch.h
@@ -19,8 +19,9 @@
     } -> std::convertible_to<token_count>;
 };
 
-/// Models continuous batching: each step produces one token for every admitted
-/// sequence, and a step takes longer the more sequences decode. The caller
+/// Models continuous batching: each step produces one token for every
+/// sequence whose prefill has ended, and a step takes longer the more sequences
+/// decode. The caller
 /// passes in the time; the batch reads no clock.
 class engine_batch
 {
--- a/Tests/Scenarios/Support/4-Deployments.lua
+++ b/Tests/Scenarios/Support/4-Deployments.lua
@@ -115,7 +115,7 @@
 end
 
 -- Kills one engine, one service and one router, and removes the service and the
--- router from the lists.
+-- router from running, so that expect_all_served passes over them.
 function kill_one_of_each(deployment, running)
   kill(deployment.engine_name .. "-1")
   kill(deployment.service_name .. "-1")
